--- a/sparbend/core/fleet_words_test.cc
+++ b/sparbend/core/fleet_words_test.cc
@@ -229,7 +229,7 @@
     fleet.Run(Millis(1'000), 8);
     for (int box = 0; box < kBoxes; ++box) {
       if (fleet.nodes().alive(box))
-        CHECK(fleet.nodes().at(box).sum_age(fleet.nodes().now()) <=
+        CHECK(fleet.nodes().at(box).aggregate_age(fleet.nodes().now()) <=
               Millis(1'000));
     }
   }
--- a/sparbend/core/hall_sums.cc
+++ b/sparbend/core/hall_sums.cc
@@ -58,33 +58,33 @@
 
 }  // namespace
 
-void HallSums::Books::Learn(BoxId source,
-                            const Datagram& datagram,
-                            Millis now) {
+void HallAggregates::Books::Learn(BoxId source,
+                                  const Datagram& datagram,
+                                  Millis now) {
   loads.Learn(source, datagram.loads, now);
   served.Learn(source, datagram.services, now);
   denied.Learn(source, datagram.denials, now);
 }
 
-void HallSums::NoteHomes(const std::vector<PrefixHome>& homes,
-                         bool near,
-                         Millis now) {
+void HallAggregates::NoteHomes(const std::vector<PrefixHome>& homes,
+                               bool near,
+                               Millis now) {
   for (const PrefixHome& home : homes) {
     if (homes_known_.insert(home).second)
       homes_.push_back({home, now, near});
   }
 }
 
-void HallSums::TakeWord(const Datagram& word, Millis now) {
+void HallAggregates::TakeWord(const Datagram& word, Millis now) {
   near_.Learn(word.sender, word, now);
   boxes_[word.sender] = {
       {word.sender, word.incarnation, word.heartbeat, word.leaving}, now};
   NoteHomes(word.homes, true, now);
 }
 
-void HallSums::TakeHallSum(const std::string& hall,
-                           const Datagram& sum,
-                           Millis now) {
+void HallAggregates::TakeHallSum(const std::string& hall,
+                                 const Datagram& sum,
+                                 Millis now) {
   NoteHomes(sum.homes, false, now);
   FarSum& known = halls_[hall];
   const bool better = sum.sender == known.from ||
@@ -96,7 +96,7 @@
   far_.Learn(BoxIdOf(hall), sum, now);
 }
 
-void HallSums::Expire(Millis now) {
+void HallAggregates::Expire(Millis now) {
   near_.loads.Expire(now);
   far_.loads.Expire(now);
   std::erase_if(boxes_, [&](const auto& entry) {
@@ -111,14 +111,14 @@
   }
 }
 
-auto HallSums::Members() const -> std::vector<MemberNews> {
+auto HallAggregates::Members() const -> std::vector<MemberNews> {
   std::vector<MemberNews> members;
   for (const auto& [box, included] : boxes_)
     members.push_back(included.news);
   return members;
 }
 
-auto HallSums::Homes(bool near_only) const -> std::vector<PrefixHome> {
+auto HallAggregates::Homes(bool near_only) const -> std::vector<PrefixHome> {
   std::vector<PrefixHome> homes;
   for (auto home = homes_.rbegin();
        home != homes_.rend() && homes.size() < kMostHomes; ++home) {
@@ -128,10 +128,10 @@
   return homes;
 }
 
-auto HallSums::HallSum(Millis now) -> Datagram {
+auto HallAggregates::HallSum(Millis now) -> Datagram {
   Expire(now);
   Datagram sum;
-  sum.kind = DatagramKind::kHallSum;
+  sum.kind = DatagramKind::kHallAggregate;
   sum.sum.boxes = static_cast<uint32_t>(boxes_.size());
   sum.members = Members();
   sum.loads = near_.loads.ToldRows();
@@ -141,9 +141,9 @@
   return sum;
 }
 
-auto HallSums::FleetSum(Millis now) -> Datagram {
+auto HallAggregates::FleetSum(Millis now) -> Datagram {
   Datagram sum = HallSum(now);
-  sum.kind = DatagramKind::kFleetSum;
+  sum.kind = DatagramKind::kFleetAggregate;
   for (const auto& [hall, known] : halls_)
     sum.sum.boxes += known.boxes;
   sum.loads = AddLoads(sum.loads, far_.loads.ToldRows());
--- a/sparbend/core/hall_sums.h
+++ b/sparbend/core/hall_sums.h
@@ -21,7 +21,7 @@
 
 namespace sparbend {
 
-class HallSums {
+class HallAggregates {
  public:
   // The word of a box of this hall, this box's own included; it replaces that
   // box's word before.
--- a/sparbend/core/messages.cc
+++ b/sparbend/core/messages.cc
@@ -21,7 +21,8 @@
 constexpr int64_t kWireVersion = 7;
 constexpr size_t kTagBytes = 8;
 constexpr size_t kHeaderNumbers = 15;
-constexpr uint32_t kMostKind = static_cast<uint32_t>(DatagramKind::kFleetSum);
+constexpr uint32_t kMostKind =
+    static_cast<uint32_t>(DatagramKind::kFleetAggregate);
 constexpr size_t kSections = 12;
 constexpr int64_t kMaxU32 = UINT32_MAX;
 constexpr int64_t kMaxValue = INT64_MAX / 4;
--- a/sparbend/core/messages.h
+++ b/sparbend/core/messages.h
@@ -89,9 +89,9 @@
 // A sum over boxes is too long for one datagram: it comes in parts that have
 // the same sequence number.
 enum class DatagramKind : uint8_t {
-  kWord,      // what the sender itself has
-  kHallSum,   // the sum over the boxes of the sender's hall
-  kFleetSum,  // the sum over all boxes that the sender knows of
+  kLoadReport,      // what the sender itself has
+  kHallAggregate,   // the sum over the boxes of the sender's hall
+  kFleetAggregate,  // the sum over all boxes that the sender knows of
 };
 
 struct SumHead {
@@ -103,7 +103,7 @@
 };
 
 struct Datagram {
-  DatagramKind kind = DatagramKind::kWord;
+  DatagramKind kind = DatagramKind::kLoadReport;
   SumHead sum;  // of no meaning in a word
   BoxId sender = 0;
   uint32_t incarnation = 0;
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -190,7 +190,7 @@
   if (!quarantine_.OnEnded(request, stamp, now))
     return;
   const bool again = stamp.ends > 0;
-  const bool large = word_lag() > Millis(0);
+  const bool large = report_lag() > Millis(0);
   if (!again && (large || now - suspicion_told_ < kSuspicionPause))
     return;
   suspicion_told_ = now;
@@ -279,8 +279,8 @@
     entry_.OnRestart(datagram->sender);
     exchange_.OnRestart(datagram->sender);
   }
-  // Parts of one word or sum have the same sequence; SumAssembly takes each
-  // once.
+  // Parts of one word or sum have the same sequence; AggregateAssembler takes
+  // each once.
   const bool parts = datagram->sum.parts > 1;
   if (datagram->sequence < peer.received ||
       (datagram->sequence == peer.received && !parts))
@@ -378,8 +378,8 @@
 // grow with the square of the fleet.
 void Node::TalkByWords(Millis now, Effects* effects) {
   const Urgency urgency = std::exchange(urgency_, Urgency::kNone);
-  for (const WordExchange::Message& message :
-       exchange_.Talk(Head(now), urgency, now)) {
+  for (const LoadReportExchange::Message& message :
+       exchange_.DueMessages(Head(now), urgency, now)) {
     const std::string bytes =
         EncodeDatagram(message.datagram, options_.peer_key);
     for (const BoxId box : message.to)
--- a/sparbend/core/node.h
+++ b/sparbend/core/node.h
@@ -114,10 +114,12 @@
   auto live_boxes() const -> size_t {
     return std::max(live_.size(), exchange_.boxes());
   }
-  // Age of what this box knows of a large fleet's work; see WordExchange.
-  auto sum_age(Millis now) const -> Millis { return exchange_.SumAge(now); }
+  // Age of what this box knows of a large fleet's work; see LoadReportExchange.
+  auto aggregate_age(Millis now) const -> Millis {
+    return exchange_.SumAge(now);
+  }
   // How much longer news may be on its way than from box to box.
-  auto word_lag() const -> Millis { return exchange_.Lag(); }
+  auto report_lag() const -> Millis { return exchange_.Lag(); }
   auto allocators() const -> const Allocators& { return allocators_; }
   // The list of targets that a live peer read last.
   struct PeerDirectory {
@@ -176,7 +178,7 @@
   Ledger ledger_;
   Entry entry_;
   Allocators allocators_;
-  WordExchange exchange_;  // under kShared
+  LoadReportExchange exchange_;  // under kShared
   Quarantine quarantine_;
   Millis suspicion_told_{-1'000'000};
   Urgency urgency_ = Urgency::kNone;
--- a/sparbend/core/sum_parts.cc
+++ b/sparbend/core/sum_parts.cc
@@ -111,7 +111,7 @@
 
 }  // namespace
 
-auto CutSum(const Datagram& sum) -> std::vector<Datagram> {
+auto SplitAggregate(const Datagram& sum) -> std::vector<Datagram> {
   Packer packer(sum);
   packer.Add(sum.members, &Datagram::members);
   packer.Add(sum.leaving_targets, &Datagram::leaving_targets);
@@ -123,7 +123,7 @@
   return packer.Finish();
 }
 
-auto SumAssembly::Begin(const Datagram& part) -> Unfinished {
+auto AggregateAssembler::Begin(const Datagram& part) -> Unfinished {
   Unfinished begun;
   begun.came.resize(part.sum.parts);
   begun.missing = part.sum.parts;
@@ -138,7 +138,7 @@
   return begun;
 }
 
-auto SumAssembly::Take(const Datagram& part) -> std::optional<Datagram> {
+auto AggregateAssembler::Take(const Datagram& part) -> std::optional<Datagram> {
   const auto [found, first] = unfinished_.try_emplace({part.sender, part.kind});
   Unfinished& sum = found->second;
   if (first || part.sequence > sum.sum.sequence)
@@ -161,7 +161,7 @@
   return sum.sum;
 }
 
-void SumAssembly::Forget(BoxId sender) {
+void AggregateAssembler::Forget(BoxId sender) {
   std::erase_if(unfinished_,
                 [&](const auto& entry) { return entry.first.first == sender; });
 }
--- a/sparbend/core/sum_parts.h
+++ b/sparbend/core/sum_parts.h
@@ -1,8 +1,8 @@
 // Cuts a sum over boxes into datagrams of a bounded size, and puts it together
 // again from them.
 //
-//   for (const Datagram& part : CutSum(sum)) Send(part);
-//   SumAssembly assembly;
+//   for (const Datagram& part : SplitAggregate(sum)) Send(part);
+//   AggregateAssembler assembly;
 //   if (const auto sum = assembly.Take(part)) Use(*sum);
 #ifndef SPARBEND_CORE_SUM_PARTS_H_
 #define SPARBEND_CORE_SUM_PARTS_H_
@@ -17,10 +17,10 @@
 
 // The parts of `sum`, each within kMaxDatagramBytes; at most kMostParts, the
 // rest of what it names is left out.
-auto CutSum(const Datagram& sum) -> std::vector<Datagram>;
+auto SplitAggregate(const Datagram& sum) -> std::vector<Datagram>;
 
 // Keeps the newest unfinished sum of each kind of each sender.
-class SumAssembly {
+class AggregateAssembler {
  public:
   // The whole sum once its last part is there. Parts of older sums than the
   // newest begun of that sender and kind are dropped, and repeated ones.
--- a/sparbend/core/sum_parts_test.cc
+++ b/sparbend/core/sum_parts_test.cc
@@ -14,7 +14,7 @@
 // A sum over boxes with as many entries of each kind as `entries`.
 auto AnySum(int entries) -> Datagram {
   Datagram sum;
-  sum.kind = DatagramKind::kFleetSum;
+  sum.kind = DatagramKind::kFleetAggregate;
   sum.sender = *rc::gen::arbitrary<BoxId>();
   sum.incarnation = *rc::gen::arbitrary<uint32_t>();
   sum.sequence = *rc::gen::inRange<uint32_t>(2, UINT32_MAX);
@@ -44,10 +44,10 @@
 TEST(SumParts, FitADatagramAndAreTheSumAgainInAnyOrder) {
   testing::CheckHolds("assemble(shuffle(cut(s))) == s", [] {
     const Datagram sum = AnySum(*rc::gen::inRange(0, 150));
-    std::vector<Datagram> parts = CutSum(sum);
+    std::vector<Datagram> parts = SplitAggregate(sum);
     const size_t turn = *rc::gen::inRange<size_t>(0, parts.size());
     std::ranges::rotate(parts, parts.begin() + static_cast<ptrdiff_t>(turn));
-    SumAssembly assembly;
+    AggregateAssembler assembly;
     std::optional<Datagram> whole;
     for (const Datagram& part : parts) {
       const std::string bytes = EncodeDatagram(part, kKey);
@@ -76,16 +76,16 @@
 
 TEST(SumParts, AnUnfinishedSumGivesWayToTheNextAndOldPartsToIt) {
   Datagram sum;
-  sum.kind = DatagramKind::kHallSum;
+  sum.kind = DatagramKind::kHallAggregate;
   sum.sender = 7;
   for (uint32_t i = 0; i < 200; ++i)
     sum.loads.push_back({i, 1, 70'000, 70'000});
   sum.sequence = 1;
-  const std::vector<Datagram> first = CutSum(sum);
+  const std::vector<Datagram> first = SplitAggregate(sum);
   sum.sequence = 2;
-  const std::vector<Datagram> second = CutSum(sum);
+  const std::vector<Datagram> second = SplitAggregate(sum);
   CHECK(first.size() > 1);
-  SumAssembly assembly;
+  AggregateAssembler assembly;
   CHECK(!assembly.Take(first[0]));
   for (size_t i = 0; i + 1 < second.size(); ++i)
     CHECK(!assembly.Take(second[i]));
@@ -105,11 +105,11 @@
 
 TEST(SumParts, OfOneSumThatDisagreeOnTheirNumberAreDropped) {
   Datagram part;
-  part.kind = DatagramKind::kFleetSum;
+  part.kind = DatagramKind::kFleetAggregate;
   part.sender = 7;
   part.sequence = 1;
   part.sum.parts = 2;
-  SumAssembly assembly;
+  AggregateAssembler assembly;
   CHECK(!assembly.Take(part));
   part.sum.part = 2;
   part.sum.parts = 3;
--- a/sparbend/core/word_exchange.cc
+++ b/sparbend/core/word_exchange.cc
@@ -91,14 +91,14 @@
   return sum;
 }
 
-using Message = WordExchange::Message;
+using Message = LoadReportExchange::Message;
 
 void Send(const Datagram& datagram,
           const std::vector<BoxId>& to,
           std::vector<Message>* messages) {
   if (to.empty())
     return;
-  for (Datagram& part : CutSum(datagram))
+  for (Datagram& part : SplitAggregate(datagram))
     messages->push_back({std::move(part), to});
 }
 
@@ -115,40 +115,40 @@
 
 }  // namespace
 
-WordExchange::WordExchange(std::string name,
-                           std::string hall,
-                           Members* members,
-                           Entry* entry)
+LoadReportExchange::LoadReportExchange(std::string name,
+                                       std::string hall,
+                                       Members* members,
+                                       Entry* entry)
     : name_(std::move(name)),
       hall_(std::move(hall)),
       members_(members),
       entry_(entry),
       aggregators_(hall_, members) {}
 
-auto WordExchange::Summing() const -> bool {
+auto LoadReportExchange::Summing() const -> bool {
   return members_->list().boxes.size() > kMostDirect;
 }
 
-auto WordExchange::SumAge(Millis now) const -> Millis {
+auto LoadReportExchange::SumAge(Millis now) const -> Millis {
   return summing_ ? now - sum_taken_ : Millis(0);
 }
 
-auto WordExchange::Lag() const -> Millis {
+auto LoadReportExchange::Lag() const -> Millis {
   return summing_ ? Millis(kWordMs + kSumMs) : Millis(0);
 }
 
-auto WordExchange::Take(const Datagram& datagram, Millis now)
+auto LoadReportExchange::Take(const Datagram& datagram, Millis now)
     -> std::error_code {
   const std::optional<Datagram> whole = assembly_.Take(datagram);
   if (!whole)
     return {};
-  if (whole->kind != DatagramKind::kWord)
+  if (whole->kind != DatagramKind::kLoadReport)
     return TakeSum(*whole, now);
   TakeWord(*whole, now);
   return {};
 }
 
-void WordExchange::TakeWord(const Datagram& word, Millis now) {
+void LoadReportExchange::TakeWord(const Datagram& word, Millis now) {
   if (!summing_) {
     entry_->placement().Learn(word.sender, word.loads, word.homes, now);
     entry_->fair_parts().Learn(word.sender, word.services, word.denials, now);
@@ -159,12 +159,13 @@
     sums_.TakeWord(word, now);
 }
 
-auto WordExchange::TakeSum(const Datagram& sum, Millis now) -> std::error_code {
+auto LoadReportExchange::TakeSum(const Datagram& sum, Millis now)
+    -> std::error_code {
   const BoxEntry* sender = members_->Find(sum.sender);
   if (sender == nullptr || !summing_)
     return Errc::kRefused;
   const bool near = sender->hall == hall_;
-  if ((sum.kind == DatagramKind::kFleetSum) != near)
+  if ((sum.kind == DatagramKind::kFleetAggregate) != near)
     return Errc::kRefused;
   if (!Plausible(sum, members_->list().boxes.size()))
     return Errc::kInvalid;
@@ -179,7 +180,7 @@
 }
 
 // The word of this box that is in `sum`; nothing if none is.
-auto WordExchange::EchoOf(const Datagram& sum) const -> const Told* {
+auto LoadReportExchange::EchoOf(const Datagram& sum) const -> const Told* {
   const auto own =
       std::ranges::find(sum.members, members_->self(), &MemberNews::box);
   if (own == sum.members.end() || own->incarnation != members_->incarnation())
@@ -188,7 +189,7 @@
   return told == told_.end() ? nullptr : &*told;
 }
 
-void WordExchange::TakeFleetSum(const Datagram& sum, Millis now) {
+void LoadReportExchange::TakeFleetSum(const Datagram& sum, Millis now) {
   const bool believed = sum.sender == sum_from_ ||
                         sum.sum.boxes * 100 >= sum_boxes_ * kFewerPercent ||
                         now - sum_taken_ >= kFewerAfter;
@@ -209,7 +210,7 @@
       Without(sum.denials, own.denied, now - own.at), now);
 }
 
-void WordExchange::SetMode(Millis now) {
+void LoadReportExchange::SetMode(Millis now) {
   if (Summing() != summing_) {
     summing_ = !summing_;
     entry_->placement().ForgetTold();
@@ -225,7 +226,7 @@
   aggregating_ = std::erase(near_, members_->self()) > 0;
 }
 
-auto WordExchange::WordInterval() const -> int64_t {
+auto LoadReportExchange::WordInterval() const -> int64_t {
   if (summing_)
     return kWordMs;
   const auto peers = static_cast<int64_t>(members_->list().boxes.size()) - 1;
@@ -235,18 +236,19 @@
 // News that all boxes tell on at once leaves their words in step; then what
 // each believes of targets and flows is a whole interval old for all together,
 // and all act on it alike. Words of uneven spacing come apart again.
-auto WordExchange::Spread(int64_t interval, uint32_t turn) const -> Millis {
+auto LoadReportExchange::Spread(int64_t interval, uint32_t turn) const
+    -> Millis {
   const int64_t spread = interval * kSpreadPercent / 100;
   const uint64_t chance = StableHash(name_ + "/" + std::to_string(turn));
   return Millis(interval - spread / 2 +
                 static_cast<int64_t>(chance % static_cast<uint64_t>(spread)));
 }
 
-auto WordExchange::WordDue(Millis now) const -> bool {
+auto LoadReportExchange::WordDue(Millis now) const -> bool {
   return now - word_at_ >= Spread(WordInterval(), words_);
 }
 
-auto WordExchange::OwnWord(const Datagram& head, Millis now) -> Datagram {
+auto LoadReportExchange::OwnWord(const Datagram& head, Millis now) -> Datagram {
   Datagram word = head;
   word.heartbeat = ++words_;
   word.sequence = ++sequence_;
@@ -268,7 +270,7 @@
 }
 
 // For those who do not add up for this box: what its head says is all they use.
-auto WordExchange::News(const Datagram& word) -> Datagram {
+auto LoadReportExchange::News(const Datagram& word) -> Datagram {
   Datagram news = word;
   news.loads.clear();
   news.homes.clear();
@@ -277,7 +279,7 @@
   return news;
 }
 
-auto WordExchange::Sample() -> std::vector<BoxId> {
+auto LoadReportExchange::Sample() -> std::vector<BoxId> {
   const std::vector<BoxId>& boxes = members_->BoxesOf(hall_);
   if (boxes.empty())
     return {};
@@ -286,10 +288,10 @@
   return {boxes[++sampled_ % boxes.size()]};
 }
 
-void WordExchange::TellWord(const Datagram& head,
-                            Urgency urgency,
-                            Millis now,
-                            std::vector<Message>* messages) {
+void LoadReportExchange::TellWord(const Datagram& head,
+                                  Urgency urgency,
+                                  Millis now,
+                                  std::vector<Message>* messages) {
   word_at_ = now;
   const Datagram word = OwnWord(head, now);
   std::vector<BoxId> all;
@@ -312,10 +314,10 @@
   Send(News(word), others, messages);
 }
 
-void WordExchange::AddSum(const Datagram& head,
-                          Datagram sum,
-                          const std::vector<BoxId>& to,
-                          std::vector<Message>* messages) {
+void LoadReportExchange::AddSum(const Datagram& head,
+                                Datagram sum,
+                                const std::vector<BoxId>& to,
+                                std::vector<Message>* messages) {
   Datagram whole = head;
   whole.kind = sum.kind;
   whole.sum = sum.sum;
@@ -329,9 +331,9 @@
   Send(whole, to, messages);
 }
 
-void WordExchange::TellSums(const Datagram& head,
-                            Millis now,
-                            std::vector<Message>* messages) {
+void LoadReportExchange::TellSums(const Datagram& head,
+                                  Millis now,
+                                  std::vector<Message>* messages) {
   sums_at_ = now;
   ++sums_told_;
   AddSum(head, sums_.HallSum(now), aggregators_.Far(now), messages);
@@ -341,8 +343,9 @@
   AddSum(head, std::move(fleet), members_->BoxesOf(hall_), messages);
 }
 
-auto WordExchange::Talk(const Datagram& head, Urgency urgency, Millis now)
-    -> std::vector<Message> {
+auto LoadReportExchange::DueMessages(const Datagram& head,
+                                     Urgency urgency,
+                                     Millis now) -> std::vector<Message> {
   std::vector<Message> messages;
   SetMode(now);
   if (members_->list().boxes.size() < 2)
--- a/sparbend/core/word_exchange.h
+++ b/sparbend/core/word_exchange.h
@@ -31,7 +31,7 @@
 // Whom news of this box must reach without waiting for the next word.
 enum class Urgency { kNone, kHall, kFleet };
 
-class WordExchange {
+class LoadReportExchange {
  public:
   // One datagram, the same for all that it goes to.
   struct Message {
@@ -40,10 +40,10 @@
   };
 
   // `members` and `entry` must outlive this.
-  WordExchange(std::string name,
-               std::string hall,
-               Members* members,
-               Entry* entry);
+  LoadReportExchange(std::string name,
+                     std::string hall,
+                     Members* members,
+                     Entry* entry);
 
   // A datagram of a listed box. kRefused for a sum that this box has no use
   // for, as of another hall's boxes to each other; kInvalid for one that no
@@ -54,7 +54,7 @@
 
   // What is to be told now. `head` holds what is the same in all datagrams of
   // this box.
-  auto Talk(const Datagram& head, Urgency urgency, Millis now)
+  auto DueMessages(const Datagram& head, Urgency urgency, Millis now)
       -> std::vector<Message>;
 
   // Boxes that the view of the fleet rests on, this one included.
@@ -106,8 +106,8 @@
   Members* members_;
   Entry* entry_;
   Aggregators aggregators_;
-  HallSums sums_;
-  SumAssembly assembly_;
+  HallAggregates sums_;
+  AggregateAssembler assembly_;
   std::deque<Told> told_;  // the newest last
   bool summing_ = false;
   bool aggregating_ = false;
--- a/sparbend/core/word_exchange_test.cc
+++ b/sparbend/core/word_exchange_test.cc
@@ -21,7 +21,7 @@
 constexpr int kHalls = 3;
 constexpr std::string_view kKey = "key";
 
-TEST_GROUP(WordExchange) {
+TEST_GROUP(LoadReportExchange) {
   std::unique_ptr<SharedNodes> fleet;
 
   void setup() override {
@@ -39,7 +39,7 @@
   // A fleet's sum as box `from` would send it next.
   auto FleetSum(int from) -> Datagram {
     Datagram sum;
-    sum.kind = DatagramKind::kFleetSum;
+    sum.kind = DatagramKind::kFleetAggregate;
     sum.sender = BoxIdOf("box-" + std::to_string(from));
     sum.incarnation = 1;
     sum.sequence = 1'000'000;
@@ -63,7 +63,7 @@
   }
 };
 
-TEST(WordExchange, SumsThatNoFleetCanHaveAreRefused) {
+TEST(LoadReportExchange, SumsThatNoFleetCanHaveAreRefused) {
   struct Case {
     const char* what;
     std::function<void(Datagram*)> change;
@@ -88,7 +88,7 @@
        [](Datagram* sum) { sum->sender = BoxIdOf("box-1"); }, Errc::kRefused,
        0},
       {"a hall's sum from the own hall",
-       [](Datagram* sum) { sum->kind = DatagramKind::kHallSum; },
+       [](Datagram* sum) { sum->kind = DatagramKind::kHallAggregate; },
        Errc::kRefused, 0},
       {"a sum from nobody", [](Datagram* sum) { sum->sender = 12'345; },
        Errc::kRefused, 0},
@@ -109,7 +109,7 @@
   }
 }
 
-TEST(WordExchange, TwoBoxesOfAHallAddUp) {
+TEST(LoadReportExchange, TwoBoxesOfAHallAddUp) {
   fleet->ResetTraffic();
   Run(Millis(5'000));
   std::map<std::string, std::vector<size_t>> sent;
@@ -123,7 +123,7 @@
   }
 }
 
-TEST(WordExchange, OneThatIsMuteIsPassedOverWithinTwoSeconds) {
+TEST(LoadReportExchange, OneThatIsMuteIsPassedOverWithinTwoSeconds) {
   fleet->ResetTraffic();
   Run(Millis(1'000));
   int busiest = 0;
@@ -136,7 +136,7 @@
   for (int step = 0; step < 100; ++step) {
     fleet->Step(Millis(50));
     for (int box = 0; box < kBoxes; ++box)
-      worst = std::max(worst, fleet->at(box).sum_age(fleet->now()));
+      worst = std::max(worst, fleet->at(box).aggregate_age(fleet->now()));
   }
   CHECK(worst <= Millis(1'000));
 }
--- a/sparbend/services/directory.cc
+++ b/sparbend/services/directory.cc
@@ -161,7 +161,7 @@
 }
 
 auto Directory::Fresh() const -> Millis {
-  return kFresh + scheduler_->node().word_lag();
+  return kFresh + scheduler_->node().report_lag();
 }
 
 // Lists in the log which targets are kept though their records are gone.
--- a/sparbend/services/scheduler.cc
+++ b/sparbend/services/scheduler.cc
@@ -125,7 +125,7 @@
 }
 
 void Scheduler::NoteSumAge(Millis now) {
-  const Millis age = node_.sum_age(now);
+  const Millis age = node_.aggregate_age(now);
   metrics_->fleet_sum_age.Set(static_cast<double>(age.count()) / 1'000);
   const bool stale = age >= kSumStale;
   if (stale == sum_stale_)
