--- a/sparbend/core/entry.h
+++ b/sparbend/core/entry.h
@@ -109,7 +109,7 @@
   // An allocator's word on its leases and the least service waiting there.
   void OnNotice(BoxId from, const LeaseNotice& notice, Millis now);
   void OnFloors(BoxId from, const std::vector<Floor>& floors);
-  void OnHeard(BoxId from, Millis now) { leases_.OnHeard(from, now); }
+  void RenewLeases(BoxId from, Millis now) { leases_.RenewLeases(from, now); }
   void OnRestart(BoxId allocator) { demand_.Reset(allocator); }
 
   // Recomputes what allocators should know; then what to tell one of them.
--- a/sparbend/core/members.cc
+++ b/sparbend/core/members.cc
@@ -59,7 +59,7 @@
   return true;
 }
 
-void Members::Heard(const MemberNews& news, Millis now) {
+void Members::OnMemberNews(const MemberNews& news, Millis now) {
   if (news.box == self_ || !boxes_.contains(news.box))
     return;
   State& state = states_[news.box];
--- a/sparbend/core/members.h
+++ b/sparbend/core/members.h
@@ -87,7 +87,7 @@
   auto list() const -> const MemberList& { return list_; }
 
   // A sign of life. Older incarnations and heartbeats change nothing.
-  void Heard(const MemberNews& news, Millis now);
+  void OnMemberNews(const MemberNews& news, Millis now);
   // This box itself leaves.
   void LeaveSelf() { leaving_ = true; }
 
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -144,8 +144,8 @@
   if (datagram.store_since_ms == UINT32_MAX ||
       datagram.store_until_ms > datagram.store_since_ms)
     return;
-  store_contact_.OnHeard({now - Millis(datagram.store_since_ms),
-                          now - Millis(datagram.store_until_ms)});
+  store_contact_.OnPeerSpan({now - Millis(datagram.store_since_ms),
+                             now - Millis(datagram.store_until_ms)});
 }
 
 void Node::TellStoreContact(Datagram* datagram, Millis now) const {
@@ -301,10 +301,10 @@
 void Node::TakeDatagram(const Datagram& datagram, Millis now) {
   const BoxId from = datagram.sender;
   ledger_.Advance(now);
-  members_.Heard(
+  members_.OnMemberNews(
       {from, datagram.incarnation, datagram.heartbeat, datagram.leaving}, now);
   for (const MemberNews& news : datagram.members)
-    members_.Heard(news, now);
+    members_.OnMemberNews(news, now);
   // Who found it told all at once; here it rides along with the next word, for
   // those that the finder does not reach. Told on at once by all it took boxes
   // squared datagrams a target, and boxes fell behind for two seconds when 35
@@ -323,7 +323,7 @@
     allocators_.OnReport(from, report);
   for (const Demand& demand : datagram.demands)
     allocators_.OnDemand(from, demand, now);
-  entry_.OnHeard(from, now);
+  entry_.RenewLeases(from, now);
   entry_.OnFloors(from, datagram.floors);
   for (const LeaseNotice& lease : datagram.leases)
     entry_.OnNotice(from, lease, now);
@@ -336,7 +336,7 @@
   for (const Demand& demand : entry_.Demands(self, false))
     allocators_.OnDemand(self, demand, now);
   allocators_.Run(now);
-  entry_.OnHeard(self, now);
+  entry_.RenewLeases(self, now);
   entry_.OnFloors(self, allocators_.Floors());
   for (const LeaseNotice& lease : allocators_.Notices(self, false))
     entry_.OnNotice(self, lease, now);
@@ -426,7 +426,7 @@
         (now - *directory_read_at_).count(), 0, UINT32_MAX - 1));
   TellStoreContact(&datagram, now);
   datagram.leaving_targets = leaving_targets_.Listed();
-  datagram.suspicions = quarantine_.Told(now);
+  datagram.suspicions = quarantine_.RowsToReport(now);
   return datagram;
 }
 
--- a/sparbend/core/quarantine.cc
+++ b/sparbend/core/quarantine.cc
@@ -159,7 +159,7 @@
           static_cast<uint32_t>(std::max<int64_t>(0, age))};
 }
 
-auto Quarantine::Told(Millis now) -> const std::vector<Suspicion>& {
+auto Quarantine::RowsToReport(Millis now) -> const std::vector<Suspicion>& {
   if (rows_.empty()) {
     told_.clear();
   } else if (told_.empty() || now - told_at_ >= kToldFor) {
--- a/sparbend/core/quarantine.h
+++ b/sparbend/core/quarantine.h
@@ -56,7 +56,7 @@
   // What to tell with the next word: what changed lately, and some of the rest
   // in turn, for boxes that have just started or were cut off. May be called
   // for each request: composed anew 20 times a second, and after a change.
-  auto Told(Millis now) -> const std::vector<Suspicion>&;
+  auto RowsToReport(Millis now) -> const std::vector<Suspicion>&;
   void Learn(const std::vector<Suspicion>& told, Millis now);
   // Rows that this box wrote down before it started; it goes on keeping them.
   void Restore(const std::vector<Suspicion>& kept, Millis now);
--- a/sparbend/core/quarantine_test.cc
+++ b/sparbend/core/quarantine_test.cc
@@ -128,7 +128,7 @@
     Quarantine quarantine;
     quarantine.OnEnded(kRequest, {0, 0}, kStart);
     LONGS_EQUAL(row.told,
-                quarantine.Told(kStart + Millis(row.after_ms)).size());
+                quarantine.RowsToReport(kStart + Millis(row.after_ms)).size());
     CHECK(quarantine.empty() == (row.told == 0));
   }
 }
@@ -141,11 +141,11 @@
   one.OnEnded(kRequest, {0, 1}, kStart);
   const Millis later = kStart + Millis(100'000);
   Quarantine other;
-  other.Learn(one.Told(later), later);
+  other.Learn(one.RowsToReport(later), later);
   CHECK_EQUAL(20'000, other.BlockedFor(kRequest, later).count());
   const Millis over = kStart + Millis(720'000);
   Quarantine late;
-  late.Learn(one.Told(over), over);
+  late.Learn(one.RowsToReport(over), over);
   CHECK(late.empty());
 }
 
@@ -156,9 +156,9 @@
   Quarantine other;
   one.OnEnded(kRequest, {0, 0}, kStart);
   CHECK(one.Kept(kStart).empty());
-  other.Learn(one.Told(kStart), kStart);
+  other.Learn(one.RowsToReport(kStart), kStart);
   other.OnEnded(kRequest, other.StampOf(kRequest), kStart);
-  one.Learn(other.Told(kStart), kStart);
+  one.Learn(other.RowsToReport(kStart), kStart);
   CHECK(one.Kept(kStart).empty());
   CHECK(other.TakeKeptChanged());
   CHECK_FALSE(other.TakeKeptChanged());
@@ -168,7 +168,7 @@
   next_life.Restore(kept, kStart);
   CHECK(next_life.Kept(kStart) == kept);
   one.Lift(kRequest.workspace, kStart);
-  other.Learn(one.Told(kStart), kStart);
+  other.Learn(one.RowsToReport(kStart), kStart);
   CHECK(other.TakeKeptChanged());
   CHECK(other.Kept(kStart).empty());
 }
@@ -183,7 +183,7 @@
   Quarantine other;
   for (size_t words = 0; words < kRows; ++words) {
     const Millis at = later + Millis(100 * static_cast<int64_t>(words));
-    const std::vector<Suspicion> told = one.Told(at);
+    const std::vector<Suspicion> told = one.RowsToReport(at);
     CHECK(told.size() <= kMostPerWord);
     other.Learn(told, at);
   }
@@ -212,16 +212,16 @@
           box.OnWhole(request, stamp, kStart);
           break;
         default:
-          box.Learn(peer.Told(kStart), kStart);
+          box.Learn(peer.RowsToReport(kStart), kStart);
       }
     }
     for (Quarantine& box : boxes) {
       for (Quarantine& peer : boxes)
-        box.Learn(peer.Told(kStart), kStart);
+        box.Learn(peer.RowsToReport(kStart), kStart);
     }
     for (Quarantine& box : boxes) {
       for (Quarantine& peer : boxes)
-        box.Learn(peer.Told(kStart), kStart);
+        box.Learn(peer.RowsToReport(kStart), kStart);
     }
     for (const uint32_t body : {0U, 1U}) {
       const Fingerprint request = {1, 2, body};
--- a/sparbend/core/store_contact.cc
+++ b/sparbend/core/store_contact.cc
@@ -53,7 +53,7 @@
   last_failed_ = sent;
 }
 
-void StoreContact::OnHeard(const AnsweredSpan& span) {
+void StoreContact::OnPeerSpan(const AnsweredSpan& span) {
   if (!span_) {
     Begin(span);
     return;
--- a/sparbend/core/store_contact.h
+++ b/sparbend/core/store_contact.h
@@ -4,7 +4,7 @@
 // after an outage all boxes come to the same moment of return.
 //
 //   contact.OnAnswered(now); contact.OnFailed(sent);
-//   contact.OnHeard(span_of_a_peer);
+//   contact.RenewLeases(span_of_a_peer);
 //   if (contact.RecordsMayLapse(read_at)) ...  // doubt records that are gone
 //
 // Pure; all calls O(1). Instants are by this box's clock.
@@ -32,7 +32,7 @@
   // A call of this box that was sent at `sent` was not answered.
   void OnFailed(Millis sent);
   // A peer tells of `span`.
-  void OnHeard(const AnsweredSpan& span);
+  void OnPeerSpan(const AnsweredSpan& span);
 
   // Nothing: the store has not answered anybody yet, as far as is known.
   auto span() const -> const std::optional<AnsweredSpan>& { return span_; }
--- a/sparbend/core/store_contact_test.cc
+++ b/sparbend/core/store_contact_test.cc
@@ -38,7 +38,7 @@
         contact->OnFailed(Millis(event.at));
         break;
       case Event::Kind::kHeard:
-        contact->OnHeard({Millis(event.at), Millis(event.until)});
+        contact->OnPeerSpan({Millis(event.at), Millis(event.until)});
         break;
     }
   }
@@ -177,7 +177,7 @@
     const auto tell_all = [&] {
       for (StoreContact& box : boxes) {
         if (boxes[0].span())
-          box.OnHeard(*boxes[0].span());
+          box.OnPeerSpan(*boxes[0].span());
       }
     };
     for (const std::vector<bool>& served : steps) {
--- a/sparbend/core/word_exchange.cc
+++ b/sparbend/core/word_exchange.cc
@@ -171,7 +171,7 @@
     return Errc::kInvalid;
   aggregators_.OnSum(sum.sender, now);
   for (const MemberNews& news : sum.members)
-    members_->Heard(news, now);
+    members_->OnMemberNews(news, now);
   if (near)
     TakeFleetSum(sum, now);
   else if (aggregating_)
