--- a/sparbend/core/fair_fleet_test.cc
+++ b/sparbend/core/fair_fleet_test.cc
@@ -101,7 +101,8 @@
       const auto denied = boxes_[from].OwnDenied(kMostTold, now_);
       for (int64_t to = 0; to < count; ++to) {
         if (to != from)
-          boxes_[to].Learn(static_cast<BoxId>(from), served, denied, now_);
+          boxes_[to].UpdateFromPeer(static_cast<BoxId>(from), served, denied,
+                                    now_);
       }
     }
   }
--- a/sparbend/core/fair_parts.cc
+++ b/sparbend/core/fair_parts.cc
@@ -74,12 +74,12 @@
   denied_.Charge(flow, amount, now);
 }
 
-void FairParts::Learn(BoxId from,
-                      const std::vector<FlowValue>& served,
-                      const std::vector<FlowValue>& denied,
-                      Millis now) {
-  served_.Learn(from, served, now);
-  denied_.Learn(from, denied, now);
+void FairParts::UpdateFromPeer(BoxId from,
+                               const std::vector<FlowValue>& served,
+                               const std::vector<FlowValue>& denied,
+                               Millis now) {
+  served_.UpdateFromPeer(from, served, now);
+  denied_.UpdateFromPeer(from, denied, now);
 }
 
 auto FairParts::FindLevels(PoolId pool, Millis now) const -> Levels {
--- a/sparbend/core/fair_parts.h
+++ b/sparbend/core/fair_parts.h
@@ -33,15 +33,15 @@
   // A request of `flow` was refused for want of room.
   void Denied(Flow flow, int64_t amount, Millis now);
   // The whole word of box `from`.
-  void Learn(BoxId from,
-             const std::vector<FlowValue>& served,
-             const std::vector<FlowValue>& denied,
-             Millis now);
+  void UpdateFromPeer(BoxId from,
+                      const std::vector<FlowValue>& served,
+                      const std::vector<FlowValue>& denied,
+                      Millis now);
 
   // Drops what boxes told.
-  void ForgetTold() {
-    served_.ForgetTold();
-    denied_.ForgetTold();
+  void ClearPeerReports() {
+    served_.ClearPeerReports();
+    denied_.ClearPeerReports();
   }
 
   auto ServedLately(Flow flow, Millis now) const -> int64_t {
--- a/sparbend/core/fair_parts_test.cc
+++ b/sparbend/core/fair_parts_test.cc
@@ -79,7 +79,7 @@
 TEST(FairParts, WhatPeersSawCountsAndFades) {
   FairParts parts;
   parts.Served(kFlood, 1'200'000, kNow);
-  parts.Learn(kPeer, {{kLight, 300'000}}, {{kLight, 800'000}}, kNow);
+  parts.UpdateFromPeer(kPeer, {{kLight, 300'000}}, {{kLight, 800'000}}, kNow);
   CHECK(parts.Excess(kFlood, kNow) == FairParts::kYields);
   // Ten seconds on nobody remembers.
   const Millis later = kNow + Millis(10'000);
--- a/sparbend/core/fair_usage.cc
+++ b/sparbend/core/fair_usage.cc
@@ -30,9 +30,9 @@
   Add(static_cast<double>(amount), now, &own_[flow]);
 }
 
-void FairUsage::Learn(BoxId from,
-                      const std::vector<FlowValue>& values,
-                      Millis now) {
+void FairUsage::UpdateFromPeer(BoxId from,
+                               const std::vector<FlowValue>& values,
+                               Millis now) {
   Word& word = words_[from];
   for (const FlowValue& value : word.values)
     Add(-Faded(static_cast<double>(value.value), word.at, now), now,
@@ -46,7 +46,7 @@
   return std::llround(Faded(static_cast<double>(value), Millis(0), age));
 }
 
-void FairUsage::ForgetTold() {
+void FairUsage::ClearPeerReports() {
   words_.clear();
   told_.clear();
 }
--- a/sparbend/core/fair_usage.h
+++ b/sparbend/core/fair_usage.h
@@ -22,11 +22,13 @@
   // Adds `amount` (tokens over share; negative takes back) to `flow`.
   void Charge(Flow flow, int64_t amount, Millis now);
   // The whole word of box `from`; flows it does not name are zero there.
-  void Learn(BoxId from, const std::vector<FlowValue>& values, Millis now);
+  void UpdateFromPeer(BoxId from,
+                      const std::vector<FlowValue>& values,
+                      Millis now);
   // What is left of `value` after `age`.
   static auto FadedAfter(int64_t value, Millis age) -> int64_t;
   // Drops all words.
-  void ForgetTold();
+  void ClearPeerReports();
   // What all words come to, without the own amounts; those that matter.
   auto ToldValues(Millis now) const -> std::vector<FlowValue>;
   // This box's own part of it. O(log flows).
--- a/sparbend/core/fair_usage_test.cc
+++ b/sparbend/core/fair_usage_test.cc
@@ -16,7 +16,7 @@
 
 TEST(FairUsage, SumsOwnAndToldAndFades) {
   usage.Charge(kA, 1'000, Millis(0));
-  usage.Learn(7, {{kA, 500}, {kB, 300}}, Millis(0));
+  usage.UpdateFromPeer(7, {{kA, 500}, {kB, 300}}, Millis(0));
   LONGS_EQUAL(1'500, usage.Of(kA, Millis(0)));
   int64_t sum = 0;
   const auto amounts = usage.Amounts(kEngines, Millis(0));
@@ -25,7 +25,7 @@
   LONGS_EQUAL(900, sum / static_cast<int64_t>(amounts.size()));
   CHECK(usage.Amounts(kServices, Millis(0)).empty());
   CHECK(usage.Of(kA, Millis(2'000)) < 600);
-  usage.Learn(7, {}, Millis(0));
+  usage.UpdateFromPeer(7, {}, Millis(0));
   LONGS_EQUAL(0, usage.Of(kB, Millis(0)));
   usage.Charge(kA, -5'000, Millis(0));
   LONGS_EQUAL(0, usage.Of(kA, Millis(0)));
--- a/sparbend/core/hall_sums.cc
+++ b/sparbend/core/hall_sums.cc
@@ -58,12 +58,12 @@
 
 }  // namespace
 
-void HallAggregates::Books::Learn(BoxId source,
-                                  const Datagram& datagram,
-                                  Millis now) {
-  loads.Learn(source, datagram.loads, now);
-  served.Learn(source, datagram.services, now);
-  denied.Learn(source, datagram.denials, now);
+void HallAggregates::Books::UpdateFromPeer(BoxId source,
+                                           const Datagram& datagram,
+                                           Millis now) {
+  loads.UpdateFromPeer(source, datagram.loads, now);
+  served.UpdateFromPeer(source, datagram.services, now);
+  denied.UpdateFromPeer(source, datagram.denials, now);
 }
 
 void HallAggregates::NoteHomes(const std::vector<PrefixHome>& homes,
@@ -76,7 +76,7 @@
 }
 
 void HallAggregates::TakeWord(const Datagram& word, Millis now) {
-  near_.Learn(word.sender, word, now);
+  near_.UpdateFromPeer(word.sender, word, now);
   boxes_[word.sender] = {
       {word.sender, word.incarnation, word.heartbeat, word.leaving}, now};
   NoteHomes(word.homes, true, now);
@@ -93,7 +93,7 @@
   if (!better)
     return;
   known = {sum.sender, sum.sum.boxes, now};
-  far_.Learn(BoxIdOf(hall), sum, now);
+  far_.UpdateFromPeer(BoxIdOf(hall), sum, now);
 }
 
 void HallAggregates::Expire(Millis now) {
--- a/sparbend/core/hall_sums.h
+++ b/sparbend/core/hall_sums.h
@@ -44,7 +44,7 @@
     FairUsage served;
     FairUsage denied;
 
-    void Learn(BoxId source, const Datagram& datagram, Millis now);
+    void UpdateFromPeer(BoxId source, const Datagram& datagram, Millis now);
   };
   struct Included {
     MemberNews news;
--- a/sparbend/core/load_book.cc
+++ b/sparbend/core/load_book.cc
@@ -85,7 +85,7 @@
   });
 }
 
-void LoadBook::ForgetTold() {
+void LoadBook::ClearPeerReports() {
   words_.clear();
   told_.clear();
 }
@@ -100,9 +100,9 @@
   return rows;
 }
 
-void LoadBook::Learn(BoxId from,
-                     const std::vector<TargetLoad>& rows,
-                     Millis now) {
+void LoadBook::UpdateFromPeer(BoxId from,
+                              const std::vector<TargetLoad>& rows,
+                              Millis now) {
   Word& word = words_[from];
   Forget(word);
   word = Word{rows, now};
--- a/sparbend/core/load_book.h
+++ b/sparbend/core/load_book.h
@@ -30,12 +30,14 @@
   void Finish(RequestId id);
 
   // The whole word of box `from`: rows it does not name are zero.
-  void Learn(BoxId from, const std::vector<TargetLoad>& rows, Millis now);
+  void UpdateFromPeer(BoxId from,
+                      const std::vector<TargetLoad>& rows,
+                      Millis now);
 
   // Drops the words that are too old to count.
   void Expire(Millis now);
   // Drops all words.
-  void ForgetTold();
+  void ClearPeerReports();
   // What all words that count come to, without the own load.
   auto ToldRows() const -> std::vector<TargetLoad>;
 
--- a/sparbend/core/load_book_test.cc
+++ b/sparbend/core/load_book_test.cc
@@ -31,10 +31,10 @@
 }
 
 TEST(LoadBook, PeersWordsReplaceEachOtherAndAge) {
-  book.Learn(7, {Load(kFirst, 100), Load(kSecond, 50)}, Millis(1'000));
-  book.Learn(8, {Load(kFirst, 10)}, Millis(1'000));
+  book.UpdateFromPeer(7, {Load(kFirst, 100), Load(kSecond, 50)}, Millis(1'000));
+  book.UpdateFromPeer(8, {Load(kFirst, 10)}, Millis(1'000));
   LONGS_EQUAL(110, book.Total(kFirst).waiting_tokens);
-  book.Learn(7, {Load(kSecond, 60)}, Millis(1'100));
+  book.UpdateFromPeer(7, {Load(kSecond, 60)}, Millis(1'100));
   LONGS_EQUAL(10, book.Total(kFirst).waiting_tokens);
   LONGS_EQUAL(60, book.Total(kSecond).waiting_tokens);
   // Box 8 was not heard for two seconds, box 7 was.
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -311,11 +311,11 @@
   // targets of 140 were replaced.
   for (const TargetId target : datagram.leaving_targets)
     AddLeaving(target);
-  quarantine_.Learn(datagram.suspicions, now);
+  quarantine_.UpdateFromPeer(datagram.suspicions, now);
   RefreshTargets(now);
   if (options_.policy != Policy::kShared) {
     for (const FlowValue& service : datagram.services)
-      ledger_.Learn(from, service.flow, service.value);
+      ledger_.UpdateFromPeer(from, service.flow, service.value);
   }
   for (const FlowValue& lift : datagram.lifts)
     ledger_.Lift(lift.flow, lift.value);
--- a/sparbend/core/placement.cc
+++ b/sparbend/core/placement.cc
@@ -475,14 +475,14 @@
   }
 }
 
-void Placement::Learn(BoxId from,
-                      const std::vector<TargetLoad>& loads,
-                      const std::vector<PrefixHome>& homes,
-                      Millis now) {
-  loads_.Learn(from, loads, now);
+void Placement::UpdateFromPeer(BoxId from,
+                               const std::vector<TargetLoad>& loads,
+                               const std::vector<PrefixHome>& homes,
+                               Millis now) {
+  loads_.UpdateFromPeer(from, loads, now);
   NoteServices(now);
   for (const PrefixHome& home : homes)
-    homes_.Learn(home, now);
+    homes_.UpdateFromPeer(home, now);
 }
 
 }  // namespace sparbend
--- a/sparbend/core/placement.h
+++ b/sparbend/core/placement.h
@@ -116,13 +116,13 @@
   // Forgets words of boxes that have been silent.
   void Expire(Millis now) { loads_.Expire(now); }
   // Drops the loads that boxes told.
-  void ForgetTold() { loads_.ForgetTold(); }
+  void ClearPeerReports() { loads_.ClearPeerReports(); }
   auto loads() const -> const LoadBook& { return loads_; }
   auto homes() const -> const PrefixHomes& { return homes_; }
-  void Learn(BoxId from,
-             const std::vector<TargetLoad>& loads,
-             const std::vector<PrefixHome>& homes,
-             Millis now);
+  void UpdateFromPeer(BoxId from,
+                      const std::vector<TargetLoad>& loads,
+                      const std::vector<PrefixHome>& homes,
+                      Millis now);
 
  private:
   // Believed when a request was sent.
--- a/sparbend/core/placement_test.cc
+++ b/sparbend/core/placement_test.cc
@@ -104,8 +104,8 @@
   for (const Case& row : cases) {
     ++prefix;
     if (row.sent)
-      placement.Learn(7, {}, {{prefix, kFirst}}, *row.sent);
-    placement.Learn(8, {Load(kFirst, row.first_queue)}, {}, row.asked);
+      placement.UpdateFromPeer(7, {}, {{prefix, kFirst}}, *row.sent);
+    placement.UpdateFromPeer(8, {Load(kFirst, row.first_queue)}, {}, row.asked);
     QueuedRequest request = Engine(10'000, 100, prefix);
     request.work.first_byte_due = row.asked + Millis(800);
     const auto choice = placement.Choose(
@@ -123,7 +123,7 @@
     const QueuedRequest request = Engine(10'000, 100, prefix);
     const TargetId home = Choose(request)->target;
     const TargetId other = home == kFirst ? kSecond : kFirst;
-    placement.Learn(7, {}, {{prefix, other}}, Millis(0));
+    placement.UpdateFromPeer(7, {}, {{prefix, other}}, Millis(0));
     LONGS_EQUAL(other, Choose(request)->target);
   }
 }
@@ -154,14 +154,14 @@
     const QueuedRequest request = Engine(row.shared, 100);
     const TargetId home = Choose(request)->target;
     const TargetId other = home == kFirst ? kSecond : kFirst;
-    placement.Learn(7,
-                    {Load(home, row.home_queue), Load(other, row.other_queue)},
-                    {}, Millis(0));
+    placement.UpdateFromPeer(
+        7, {Load(home, row.home_queue), Load(other, row.other_queue)}, {},
+        Millis(0));
     const auto choice = Choose(request, row.excess);
     CHECK_EQUAL_TEXT(row.waits, !choice.has_value(), row.what);
     if (choice)
       CHECK_EQUAL_TEXT(row.away ? other : home, choice->target, row.what);
-    placement.Learn(7, {}, {}, Millis(0));
+    placement.UpdateFromPeer(7, {}, {}, Millis(0));
   }
 }
 
@@ -178,8 +178,8 @@
       {5'000, 9'000, false}, {11'000, 500, true}, {12'500, 500, false},
   };
   for (const Case& row : cases) {
-    placement.Learn(7, {Load(kFirst, row.queue), Load(kSecond, row.queue)}, {},
-                    Millis(0));
+    placement.UpdateFromPeer(
+        7, {Load(kFirst, row.queue), Load(kSecond, row.queue)}, {}, Millis(0));
     CHECK_EQUAL(row.taken, Choose(Engine(0, row.own), 1).has_value());
     CHECK(Choose(Engine(0, row.own), 0).has_value());
   }
@@ -189,8 +189,8 @@
   QueuedRequest request = Engine(0, 60'000);  // reading takes over a second
   const auto choice = Choose(request);
   CHECK(choice && !choice->in_time);
-  placement.Learn(7, {Load(kFirst, 20'000), Load(kSecond, 20'000)}, {},
-                  Millis(0));
+  placement.UpdateFromPeer(7, {Load(kFirst, 20'000), Load(kSecond, 20'000)}, {},
+                           Millis(0));
   CHECK(!Choose(request));
 }
 
@@ -232,7 +232,7 @@
   for (const Case& row : cases) {
     for (int word = 0; word < kWords; ++word) {
       now = now + Millis(500);
-      placement.Learn(
+      placement.UpdateFromPeer(
           7, {{201, row.near_load, 0, 0}, {202, row.far_load, 0, 0}}, {}, now);
     }
     int near = 0;
@@ -243,7 +243,7 @@
     CHECK_TEXT(near >= row.least_near * kRequests, row.what);
     CHECK_TEXT(near <= row.most_near * kRequests, row.what);
   }
-  placement.Learn(7, {}, {}, now);
+  placement.UpdateFromPeer(7, {}, {}, now);
   placement.OnOutcome(201, TargetOutcome::kUnreachable, Millis(0));
   placement.OnOutcome(201, TargetOutcome::kUnreachable, Millis(0));
   LONGS_EQUAL(202, Send(Service()));
--- a/sparbend/core/prefix_homes.cc
+++ b/sparbend/core/prefix_homes.cc
@@ -49,7 +49,7 @@
   return true;
 }
 
-void PrefixHomes::Learn(const PrefixHome& home, Millis now) {
+void PrefixHomes::UpdateFromPeer(const PrefixHome& home, Millis now) {
   Touch(home.prefix, home.target, now);
 }
 
--- a/sparbend/core/prefix_homes.h
+++ b/sparbend/core/prefix_homes.h
@@ -21,7 +21,7 @@
   // `target` was sent `prefix`; true if it was not known to hold it.
   auto Note(PrefixId prefix, TargetId target, Millis now) -> bool;
   // A peer's word; not passed on.
-  void Learn(const PrefixHome& home, Millis now);
+  void UpdateFromPeer(const PrefixHome& home, Millis now);
   auto Holds(PrefixId prefix, TargetId target, Millis now) const -> bool;
   struct Holder {
     TargetId target = 0;
--- a/sparbend/core/prefix_homes_test.cc
+++ b/sparbend/core/prefix_homes_test.cc
@@ -15,7 +15,7 @@
 TEST(PrefixHomes, RemembersTellsAndForgets) {
   CHECK(homes.Note(1, kFirst, Millis(0)));
   CHECK(!homes.Note(1, kFirst, Millis(10)));
-  homes.Learn({1, kSecond}, Millis(10));
+  homes.UpdateFromPeer({1, kSecond}, Millis(10));
   CHECK(homes.Holds(1, kFirst, Millis(20)));
   CHECK(homes.Holds(1, kSecond, Millis(20)));
   CHECK(!homes.Holds(2, kFirst, Millis(20)));
--- a/sparbend/core/quarantine.cc
+++ b/sparbend/core/quarantine.cc
@@ -191,7 +191,8 @@
   return told;
 }
 
-void Quarantine::Learn(const std::vector<Suspicion>& told, Millis now) {
+void Quarantine::UpdateFromPeer(const std::vector<Suspicion>& told,
+                                Millis now) {
   for (const Suspicion& row : told) {
     const Stamp known = {row.cleared, std::min(row.ends, kMostEnds)};
     const Millis age(int64_t{row.age_s} * kSecondMs);
@@ -202,7 +203,7 @@
 }
 
 void Quarantine::Restore(const std::vector<Suspicion>& kept, Millis now) {
-  Learn(kept, now);
+  UpdateFromPeer(kept, now);
   for (const Suspicion& row : kept) {
     const auto found = rows_.find(row.request);
     if (found != rows_.end())
--- a/sparbend/core/quarantine.h
+++ b/sparbend/core/quarantine.h
@@ -57,7 +57,7 @@
   // in turn, for boxes that have just started or were cut off. May be called
   // for each request: composed anew 20 times a second, and after a change.
   auto RowsToReport(Millis now) -> const std::vector<Suspicion>&;
-  void Learn(const std::vector<Suspicion>& told, Millis now);
+  void UpdateFromPeer(const std::vector<Suspicion>& told, Millis now);
   // Rows that this box wrote down before it started; it goes on keeping them.
   void Restore(const std::vector<Suspicion>& kept, Millis now);
   // What this box is to write down: the requests that are blocked since a
--- a/sparbend/core/quarantine_test.cc
+++ b/sparbend/core/quarantine_test.cc
@@ -141,11 +141,11 @@
   one.OnEnded(kRequest, {0, 1}, kStart);
   const Millis later = kStart + Millis(100'000);
   Quarantine other;
-  other.Learn(one.RowsToReport(later), later);
+  other.UpdateFromPeer(one.RowsToReport(later), later);
   CHECK_EQUAL(20'000, other.BlockedFor(kRequest, later).count());
   const Millis over = kStart + Millis(720'000);
   Quarantine late;
-  late.Learn(one.RowsToReport(over), over);
+  late.UpdateFromPeer(one.RowsToReport(over), over);
   CHECK(late.empty());
 }
 
@@ -156,9 +156,9 @@
   Quarantine other;
   one.OnEnded(kRequest, {0, 0}, kStart);
   CHECK(one.Kept(kStart).empty());
-  other.Learn(one.RowsToReport(kStart), kStart);
+  other.UpdateFromPeer(one.RowsToReport(kStart), kStart);
   other.OnEnded(kRequest, other.StampOf(kRequest), kStart);
-  one.Learn(other.RowsToReport(kStart), kStart);
+  one.UpdateFromPeer(other.RowsToReport(kStart), kStart);
   CHECK(one.Kept(kStart).empty());
   CHECK(other.TakeKeptChanged());
   CHECK_FALSE(other.TakeKeptChanged());
@@ -168,7 +168,7 @@
   next_life.Restore(kept, kStart);
   CHECK(next_life.Kept(kStart) == kept);
   one.Lift(kRequest.workspace, kStart);
-  other.Learn(one.RowsToReport(kStart), kStart);
+  other.UpdateFromPeer(one.RowsToReport(kStart), kStart);
   CHECK(other.TakeKeptChanged());
   CHECK(other.Kept(kStart).empty());
 }
@@ -185,7 +185,7 @@
     const Millis at = later + Millis(100 * static_cast<int64_t>(words));
     const std::vector<Suspicion> told = one.RowsToReport(at);
     CHECK(told.size() <= kMostPerWord);
-    other.Learn(told, at);
+    other.UpdateFromPeer(told, at);
   }
   LONGS_EQUAL(kRows, other.size());
 }
@@ -212,16 +212,16 @@
           box.OnWhole(request, stamp, kStart);
           break;
         default:
-          box.Learn(peer.RowsToReport(kStart), kStart);
+          box.UpdateFromPeer(peer.RowsToReport(kStart), kStart);
       }
     }
     for (Quarantine& box : boxes) {
       for (Quarantine& peer : boxes)
-        box.Learn(peer.RowsToReport(kStart), kStart);
+        box.UpdateFromPeer(peer.RowsToReport(kStart), kStart);
     }
     for (Quarantine& box : boxes) {
       for (Quarantine& peer : boxes)
-        box.Learn(peer.RowsToReport(kStart), kStart);
+        box.UpdateFromPeer(peer.RowsToReport(kStart), kStart);
     }
     for (const uint32_t body : {0U, 1U}) {
       const Fingerprint request = {1, 2, body};
--- a/sparbend/core/service_fleet_test.cc
+++ b/sparbend/core/service_fleet_test.cc
@@ -93,7 +93,8 @@
       const auto rows = boxes_[box].loads().OwnRows();
       for (size_t to = 0; to < boxes_.size(); ++to) {
         if (to != box)
-          boxes_[to].Learn(static_cast<BoxId>(box + 1), rows, {}, Millis(now_));
+          boxes_[to].UpdateFromPeer(static_cast<BoxId>(box + 1), rows, {},
+                                    Millis(now_));
       }
     }
   }
--- a/sparbend/core/small_test.cc
+++ b/sparbend/core/small_test.cc
@@ -227,8 +227,8 @@
   const Flow flow = {1, 1};
   Ledger ledger(10);
   ledger.Charge(flow, 100);
-  ledger.Learn(20, flow, 50);
-  ledger.Learn(20, flow, 70);  // replaces
+  ledger.UpdateFromPeer(20, flow, 50);
+  ledger.UpdateFromPeer(20, flow, 70);  // replaces
   LONGS_EQUAL(170, ledger.Service(flow));
   ledger.Lift(flow, 30);
   ledger.Lift(flow, 20);  // never falls
--- a/sparbend/core/word_exchange.cc
+++ b/sparbend/core/word_exchange.cc
@@ -150,8 +150,10 @@
 
 void LoadReportExchange::TakeWord(const Datagram& word, Millis now) {
   if (!summing_) {
-    entry_->placement().Learn(word.sender, word.loads, word.homes, now);
-    entry_->fair_parts().Learn(word.sender, word.services, word.denials, now);
+    entry_->placement().UpdateFromPeer(word.sender, word.loads, word.homes,
+                                       now);
+    entry_->fair_parts().UpdateFromPeer(word.sender, word.services,
+                                        word.denials, now);
     return;
   }
   const BoxEntry* sender = members_->Find(word.sender);
@@ -203,9 +205,9 @@
   static const Told nothing;
   const Told* echo = EchoOf(sum);
   const Told& own = echo == nullptr ? nothing : *echo;
-  entry_->placement().Learn(kFleet, Without(sum.loads, own.loads), sum.homes,
-                            now);
-  entry_->fair_parts().Learn(
+  entry_->placement().UpdateFromPeer(kFleet, Without(sum.loads, own.loads),
+                                     sum.homes, now);
+  entry_->fair_parts().UpdateFromPeer(
       kFleet, Without(sum.services, own.served, now - own.at),
       Without(sum.denials, own.denied, now - own.at), now);
 }
@@ -213,8 +215,8 @@
 void LoadReportExchange::SetMode(Millis now) {
   if (Summing() != summing_) {
     summing_ = !summing_;
-    entry_->placement().ForgetTold();
-    entry_->fair_parts().ForgetTold();
+    entry_->placement().ClearPeerReports();
+    entry_->fair_parts().ClearPeerReports();
     sum_taken_ = now;
     sum_boxes_ = 0;
   }
--- a/sparbend/services/directory.cc
+++ b/sparbend/services/directory.cc
@@ -424,7 +424,7 @@
   if (box == settings_.name)
     quarantine.Restore(rows, kernel_->Now());
   else
-    quarantine.Learn(rows, kernel_->Now());
+    quarantine.UpdateFromPeer(rows, kernel_->Now());
 }
 
 auto Directory::FollowBoxes() -> asio::awaitable<void> {
