--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -318,7 +318,7 @@
       ledger_.UpdateFromPeer(from, service.flow, service.value);
   }
   for (const FlowValue& lift : datagram.lifts)
-    ledger_.Lift(lift.flow, lift.value);
+    ledger_.RaiseMinService(lift.flow, lift.value);
   for (const LeaseReport& report : datagram.reports)
     allocators_.OnReport(from, report);
   for (const Demand& demand : datagram.demands)
--- a/sparbend/core/small_test.cc
+++ b/sparbend/core/small_test.cc
@@ -230,8 +230,8 @@
   ledger.UpdateFromPeer(20, flow, 50);
   ledger.UpdateFromPeer(20, flow, 70);  // replaces
   LONGS_EQUAL(170, ledger.Service(flow));
-  ledger.Lift(flow, 30);
-  ledger.Lift(flow, 20);  // never falls
+  ledger.RaiseMinService(flow, 30);
+  ledger.RaiseMinService(flow, 20);  // never falls
   LONGS_EQUAL(200, ledger.Service(flow));
   Ledger restarted(10);
   CHECK(restarted.Import(ledger.Export()));
@@ -244,13 +244,13 @@
 
 TEST(Ledger, TheCursorTellsEverythingInTheEnd) {
   testing::CheckHolds("all entries are told within their number of turns", [] {
-    Ledger::Register current;
+    Ledger::ServiceByFlow current;
     const int flows = *rc::gen::inRange(1, 30);
     for (int i = 0; i < flows; ++i)
       current[{1, static_cast<WorkspaceId>(i)}] =
           *rc::gen::inRange<int64_t>(1, 1'000);
     RegisterCursor cursor;
-    Ledger::Register told;
+    Ledger::ServiceByFlow told;
     for (int turn = 0; turn < flows; ++turn) {
       for (const auto& [flow, value] : cursor.Next(current, 4, 1))
         told[flow] = value;
