--- a/sparbend/core/entry.cc
+++ b/sparbend/core/entry.cc
@@ -53,7 +53,7 @@
   return static_cast<Policy>(found - kPolicyNames.begin());
 }
 
-Entry::Entry(Ledger* ledger,
+Entry::Entry(ServiceCounters* ledger,
              Policy policy,
              QueueLimits limits,
              const std::string& hall)
@@ -391,10 +391,10 @@
     demand_.OnGranted(from, {target->second.view.pool, workspace}, 1);
 }
 
-void Entry::OnFloors(BoxId from, const std::vector<Floor>& floors) {
+void Entry::OnFloors(BoxId from, const std::vector<SlotKeepLimit>& floors) {
   std::erase_if(floors_,
                 [&](const auto& entry) { return entry.first.first == from; });
-  for (const Floor& floor : floors)
+  for (const SlotKeepLimit& floor : floors)
     floors_[{from, floor.pool}] = floor.value;
 }
 
--- a/sparbend/core/entry.h
+++ b/sparbend/core/entry.h
@@ -52,7 +52,7 @@
 class Entry {
  public:
   // `ledger` must outlive the entry.
-  Entry(Ledger* ledger,
+  Entry(ServiceCounters* ledger,
         Policy policy,
         QueueLimits limits,
         const std::string& hall);
@@ -108,7 +108,7 @@
 
   // An allocator's word on its leases and the least service waiting there.
   void OnNotice(BoxId from, const LeaseNotice& notice, Millis now);
-  void OnFloors(BoxId from, const std::vector<Floor>& floors);
+  void OnFloors(BoxId from, const std::vector<SlotKeepLimit>& floors);
   void RenewLeases(BoxId from, Millis now) { leases_.RenewLeases(from, now); }
   void OnRestart(BoxId allocator) { demand_.Reset(allocator); }
 
@@ -187,7 +187,7 @@
   void Charge(Flow flow, int64_t tokens);
   void HandBack();
 
-  Ledger* ledger_;
+  ServiceCounters* ledger_;
   Policy policy_;
   int boxes_ = 1;
   FlowQueues queues_;
--- a/sparbend/core/entry_shared_test.cc
+++ b/sparbend/core/entry_shared_test.cc
@@ -9,7 +9,7 @@
 constexpr TargetId kFirst = 101;
 
 TEST_GROUP(SharedPolicy) {
-  Ledger ledger{1};
+  ServiceCounters ledger{1};
   Entry entry{&ledger, Policy::kShared, QueueLimits(), "h"};
   uint64_t next_id = 1;
 
--- a/sparbend/core/messages.cc
+++ b/sparbend/core/messages.cc
@@ -76,9 +76,9 @@
   return flat;
 }
 
-auto EncodeFloors(const std::vector<Floor>& floors) -> Json {
+auto EncodeFloors(const std::vector<SlotKeepLimit>& floors) -> Json {
   Json flat = Json::array();
-  for (const Floor& floor : floors)
+  for (const SlotKeepLimit& floor : floors)
     flat.insert(flat.end(), {floor.pool, floor.value});
   return flat;
 }
@@ -204,7 +204,7 @@
   return {flow, in.TakeSigned()};
 }
 
-auto TakeFloor(NumberReader& in) -> Floor {
+auto TakeFloor(NumberReader& in) -> SlotKeepLimit {
   const auto pool = in.Take<PoolId>(UINT16_MAX);
   return {pool, in.TakeSigned()};
 }
@@ -310,7 +310,7 @@
                                  EncodeReports(datagram.reports),
                                  EncodeDemands(datagram.demands),
                                  EncodeValues(datagram.services),
-                                 EncodeValues(datagram.lifts),
+                                 EncodeValues(datagram.min_services),
                                  EncodeFloors(datagram.floors),
                                  EncodeMembers(datagram.members),
                                  Json(datagram.leaving_targets),
@@ -347,7 +347,7 @@
       ReadSection(body[section++], TakeReport, &datagram.reports) &&
       ReadSection(body[section++], TakeDemand, &datagram.demands) &&
       ReadSection(body[section++], TakeValue, &datagram.services) &&
-      ReadSection(body[section++], TakeValue, &datagram.lifts) &&
+      ReadSection(body[section++], TakeValue, &datagram.min_services) &&
       ReadSection(body[section++], TakeFloor, &datagram.floors) &&
       ReadSection(body[section++], TakeMember, &datagram.members) &&
       ReadSection(body[section++], TakeTarget, &datagram.leaving_targets) &&
--- a/sparbend/core/messages.h
+++ b/sparbend/core/messages.h
@@ -59,11 +59,11 @@
 
 // Allocator to entry box: the service up to which a flow may keep a slot of
 // the pool in the allocator's hall while others wait.
-struct Floor {
+struct SlotKeepLimit {
   PoolId pool = 0;
   int64_t value = 0;
 
-  auto operator==(const Floor&) const -> bool = default;
+  auto operator==(const SlotKeepLimit&) const -> bool = default;
 };
 
 // What the sender knows of a third box.
@@ -121,8 +121,8 @@
   std::vector<LeaseReport> reports;
   std::vector<Demand> demands;
   std::vector<FlowValue> services;
-  std::vector<FlowValue> lifts;
-  std::vector<Floor> floors;
+  std::vector<FlowValue> min_services;
+  std::vector<SlotKeepLimit> floors;
   // In a sum: the boxes of the sender's hall whose words are in it, each with
   // the heartbeat of its word.
   std::vector<MemberNews> members;
--- a/sparbend/core/messages_test.cc
+++ b/sparbend/core/messages_test.cc
@@ -40,7 +40,7 @@
   datagram.store_until_ms = *rc::gen::arbitrary<uint32_t>();
   datagram.services = *AnyValues();
   datagram.denials = *AnyValues();
-  datagram.lifts = *AnyValues();
+  datagram.min_services = *AnyValues();
   LeaseNotice lease;
   lease.target = *rc::gen::arbitrary<TargetId>();
   lease.epoch = *rc::gen::arbitrary<uint32_t>();
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -274,7 +274,7 @@
     peer.incarnation = datagram->incarnation;
     peer.received = 0;
     peer.services.Reset();
-    peer.lifts.Reset();
+    peer.min_services.Reset();
     allocators_.OnRestart(datagram->sender);
     entry_.OnRestart(datagram->sender);
     exchange_.OnRestart(datagram->sender);
@@ -317,7 +317,7 @@
     for (const FlowValue& service : datagram.services)
       ledger_.UpdateFromPeer(from, service.flow, service.value);
   }
-  for (const FlowValue& lift : datagram.lifts)
+  for (const FlowValue& lift : datagram.min_services)
     ledger_.RaiseMinService(lift.flow, lift.value);
   for (const LeaseReport& report : datagram.reports)
     allocators_.OnReport(from, report);
@@ -442,8 +442,8 @@
   const size_t refresh = whole ? kRefreshPerRepeat : 0;
   datagram.services = ToValues(peer->services.Next(
       ledger_.own(), whole ? kServicesPerRepeat : kServicesPerFlush, refresh));
-  datagram.lifts = ToValues(
-      peer->lifts.Next(ledger_.lifts(), kLiftsPerDatagram, whole ? 1 : 0));
+  datagram.min_services = ToValues(peer->min_services.Next(
+      ledger_.min_services(), kLiftsPerDatagram, whole ? 1 : 0));
   if (whole)
     datagram.members = members_.NextNews(kNewsPerRepeat);
   return datagram;
--- a/sparbend/core/node.h
+++ b/sparbend/core/node.h
@@ -107,7 +107,7 @@
   auto NextWake(Millis now) const -> Millis;
 
   auto quarantine() -> Quarantine& { return quarantine_; }
-  auto ledger() -> Ledger& { return ledger_; }
+  auto ledger() -> ServiceCounters& { return ledger_; }
   auto members() -> Members& { return members_; }
   auto members() const -> const Members& { return members_; }
   // Boxes that live, as far as is known, this one included.
@@ -153,8 +153,8 @@
     uint32_t directory = 0;
     // Nothing: it has no list, or does not reach the store.
     std::optional<Millis> directory_read_at;
-    RegisterCursor services;
-    RegisterCursor lifts;
+    ServiceReportCursor services;
+    ServiceReportCursor min_services;
   };
 
   // True if that is news of a target that is listed.
@@ -175,7 +175,7 @@
 
   NodeOptions options_;
   Members members_;
-  Ledger ledger_;
+  ServiceCounters ledger_;
   Entry entry_;
   Allocators allocators_;
   LoadReportExchange exchange_;  // under kShared
--- a/sparbend/core/small_test.cc
+++ b/sparbend/core/small_test.cc
@@ -221,11 +221,11 @@
   });
 }
 
-TEST_GROUP(Ledger){};
+TEST_GROUP(ServiceCounters){};
 
-TEST(Ledger, RegistersSumAndRestartsGoOn) {
+TEST(ServiceCounters, RegistersSumAndRestartsGoOn) {
   const Flow flow = {1, 1};
-  Ledger ledger(10);
+  ServiceCounters ledger(10);
   ledger.Charge(flow, 100);
   ledger.UpdateFromPeer(20, flow, 50);
   ledger.UpdateFromPeer(20, flow, 70);  // replaces
@@ -233,7 +233,7 @@
   ledger.RaiseMinService(flow, 30);
   ledger.RaiseMinService(flow, 20);  // never falls
   LONGS_EQUAL(200, ledger.Service(flow));
-  Ledger restarted(10);
+  ServiceCounters restarted(10);
   CHECK(restarted.Import(ledger.Export()));
   LONGS_EQUAL(200, restarted.Service(flow));
   restarted.Charge(flow, 5);
@@ -242,15 +242,15 @@
   CHECK(!restarted.Import({{"registers", {1}}, {"lifts", Json::array()}}));
 }
 
-TEST(Ledger, TheCursorTellsEverythingInTheEnd) {
+TEST(ServiceCounters, TheCursorTellsEverythingInTheEnd) {
   testing::CheckHolds("all entries are told within their number of turns", [] {
-    Ledger::ServiceByFlow current;
+    ServiceCounters::ServiceByFlow current;
     const int flows = *rc::gen::inRange(1, 30);
     for (int i = 0; i < flows; ++i)
       current[{1, static_cast<WorkspaceId>(i)}] =
           *rc::gen::inRange<int64_t>(1, 1'000);
-    RegisterCursor cursor;
-    Ledger::ServiceByFlow told;
+    ServiceReportCursor cursor;
+    ServiceCounters::ServiceByFlow told;
     for (int turn = 0; turn < flows; ++turn) {
       for (const auto& [flow, value] : cursor.Next(current, 4, 1))
         told[flow] = value;
--- a/sparbend/services/admin.cc
+++ b/sparbend/services/admin.cc
@@ -282,7 +282,7 @@
          {"waiting_ms",
           front == nullptr ? 0 : (kernel_->Now() - front->arrived).count()},
          {"service_per_share", node.ledger().Service(flow) / kServiceUnit},
-         {"lift", node.ledger().LiftOf(flow) / kServiceUnit},
+         {"lift", node.ledger().MinServiceOf(flow) / kServiceUnit},
          {"why", why}});
   }
   return Json{{"workspace", name},
