--- a/sparbend/core/entry.h
+++ b/sparbend/core/entry.h
@@ -133,7 +133,7 @@
   auto policy() const -> Policy { return policy_; }
   auto placement() -> Placement& { return placement_; }
   auto placement() const -> const Placement& { return placement_; }
-  auto fair_parts() -> FairParts& { return fair_parts_; }
+  auto fair_parts() -> FairShares& { return fair_parts_; }
 
   // Why no further request of `workspace` would be taken now, or nothing.
   // O(log workspaces); for refusing before the request is read.
@@ -201,7 +201,7 @@
   std::map<std::pair<BoxId, PoolId>, int64_t> floors_;
   std::map<RequestId, Running> running_;
   Placement placement_;
-  FairParts fair_parts_;
+  FairShares fair_parts_;
   Millis now_;          // of the last call that told it
   Millis shared_pass_;  // when waiting requests were last gone through
 };
--- a/sparbend/core/entry_shared.cc
+++ b/sparbend/core/entry_shared.cc
@@ -36,7 +36,7 @@
 }  // namespace
 
 auto Entry::OverFairPart(Flow flow, Millis now) const -> Refusal {
-  const FairParts::Standing standing = fair_parts_.StandingOf(flow, now);
+  const FairShares::Standing standing = fair_parts_.StandingOf(flow, now);
   return {kTooManyRequests, Verdict::kNotRun,
           "the workspace had more than its fair part, and nothing is to spare: "
           "it was served " +
--- a/sparbend/core/fair_fleet_test.cc
+++ b/sparbend/core/fair_fleet_test.cc
@@ -57,7 +57,7 @@
  public:
   FairFleet(int boxes, int64_t capacity, bool in_step)
       : in_step_(in_step), boxes_(boxes) {
-    for (FairParts& box : boxes_)
+    for (FairShares& box : boxes_)
       box.SetCapacity(kPool, capacity);
   }
 
@@ -119,13 +119,13 @@
   void Ask(size_t i, const Traffic& traffic) {
     const int chosen =
         traffic.first_box + static_cast<int>(Random() % traffic.boxes);
-    FairParts& box = boxes_[chosen % boxes_.size()];
+    FairShares& box = boxes_[chosen % boxes_.size()];
     const Flow flow{kPool, static_cast<WorkspaceId>(i + 1)};
     // Half to one and a half times the mean.
     const int64_t tokens =
         traffic.request_tokens / 2 +
         static_cast<int64_t>(Random() % traffic.request_tokens);
-    if (box.Excess(flow, now_) == FairParts::kYields) {
+    if (box.Excess(flow, now_) == FairShares::kMustYield) {
       box.Denied(flow, tokens, now_);
       return;
     }
@@ -141,7 +141,7 @@
   static constexpr size_t kMostTold = 16;
 
   bool in_step_;  // all boxes speak at the same moments
-  std::vector<FairParts> boxes_;
+  std::vector<FairShares> boxes_;
   std::vector<Traffic> traffic_;
   std::vector<int64_t> pending_;  // thousandths of tokens not yet asked
   std::vector<std::vector<Sent>> served_;
--- a/sparbend/core/fair_parts.cc
+++ b/sparbend/core/fair_parts.cc
@@ -59,30 +59,30 @@
 
 }  // namespace
 
-void FairParts::Served(Flow flow, int64_t amount, Millis now) {
+void FairShares::Served(Flow flow, int64_t amount, Millis now) {
   served_.Charge(flow, amount, now);
   if (amount > 0)
     sizes_[flow].Add(static_cast<double>(amount));
 }
 
-void FairParts::Sizes::Add(double amount) {
+void FairShares::Sizes::Add(double amount) {
   squares = kSizesKept * squares + amount * amount;
   sum = kSizesKept * sum + amount;
 }
 
-void FairParts::Denied(Flow flow, int64_t amount, Millis now) {
+void FairShares::Denied(Flow flow, int64_t amount, Millis now) {
   denied_.Charge(flow, amount, now);
 }
 
-void FairParts::UpdateFromPeer(BoxId from,
-                               const std::vector<FlowValue>& served,
-                               const std::vector<FlowValue>& denied,
-                               Millis now) {
+void FairShares::UpdateFromPeer(BoxId from,
+                                const std::vector<FlowValue>& served,
+                                const std::vector<FlowValue>& denied,
+                                Millis now) {
   served_.UpdateFromPeer(from, served, now);
   denied_.UpdateFromPeer(from, denied, now);
 }
 
-auto FairParts::FindLevels(PoolId pool, Millis now) const -> Levels {
+auto FairShares::FindLevels(PoolId pool, Millis now) const -> Levels {
   Levels levels;
   levels.at = now;
   int64_t sum = 0;
@@ -110,7 +110,7 @@
 }
 
 // Fills all up evenly until the capacity is used; O(n log n).
-auto FairParts::OwedLevel(PoolId pool, std::vector<int64_t> asked) const
+auto FairShares::OwedLevel(PoolId pool, std::vector<int64_t> asked) const
     -> int64_t {
   const auto declared = capacity_.find(pool);
   if (declared == capacity_.end() || declared->second == 0)
@@ -126,7 +126,7 @@
   return std::numeric_limits<int64_t>::max();  // enough for all
 }
 
-auto FairParts::LevelsOf(PoolId pool, Millis now) const -> const Levels& {
+auto FairShares::LevelsOf(PoolId pool, Millis now) const -> const Levels& {
   Levels& levels = levels_[pool];
   if (now - levels.at >= kLevelInterval)
     levels = FindLevels(pool, now);
@@ -135,12 +135,12 @@
 
 // The least served hungry flow may be the very one that is judged; what it is
 // owed still bounds it.
-auto FairParts::CeilingOf(const Levels& levels) -> double {
+auto FairShares::CeilingOf(const Levels& levels) -> double {
   const auto owed = static_cast<double>(levels.owed);
   const bool any_short =
       levels.hungry && static_cast<double>(*levels.hungry) < kShort * owed;
   const double times = any_short ? kBeyondOwed : kBeyondOwedAtEase;
-  const double beyond = owed > 0 ? times * owed : kYields;
+  const double beyond = owed > 0 ? times * owed : kMustYield;
   if (!levels.hungry)
     return beyond;
   const auto level = static_cast<double>(std::max(*levels.hungry, levels.mean));
@@ -150,7 +150,7 @@
 // Purpose: of two floods the one through 59 boxes had 1.56 times what the one
 // through two had, now 1.08 times (tokens over 6 s, simulated, words every
 // 500 ms).
-auto FairParts::Judged(Flow flow, double ceiling, Millis now) const -> double {
+auto FairShares::Judged(Flow flow, double ceiling, Millis now) const -> double {
   const auto told = static_cast<double>(served_.Of(flow, now));
   const auto own = static_cast<double>(served_.OwnOf(flow, now));
   const auto asked = [](int64_t served, int64_t denied) {
@@ -170,12 +170,12 @@
   return (told + own * parts + beyond) * kHalf;
 }
 
-auto FairParts::UsualRequest(Flow flow) const -> double {
+auto FairShares::UsualRequest(Flow flow) const -> double {
   const auto found = sizes_.find(flow);
   return found == sizes_.end() ? 0 : found->second.squares / found->second.sum;
 }
 
-auto FairParts::StandingOf(Flow flow, Millis now) const -> Standing {
+auto FairShares::StandingOf(Flow flow, Millis now) const -> Standing {
   const Levels& levels = LevelsOf(flow.pool, now);
   const double ceiling = CeilingOf(levels);
   const auto bounded = static_cast<double>(std::numeric_limits<int32_t>::max());
@@ -189,14 +189,14 @@
   return standing;
 }
 
-auto FairParts::Excess(Flow flow, Millis now) const -> double {
+auto FairShares::Excess(Flow flow, Millis now) const -> double {
   const Levels& levels = LevelsOf(flow.pool, now);
   if (levels.mean == 0)
     return 0;
   const double ceiling = CeilingOf(levels);
   const double served = Judged(flow, ceiling, now);
   if (served > ceiling)
-    return kYields;
+    return kMustYield;
   const double means = kOverMeans * static_cast<double>(levels.mean);
   return served / std::max(means, static_cast<double>(levels.owed));
 }
--- a/sparbend/core/fair_parts.h
+++ b/sparbend/core/fair_parts.h
@@ -18,11 +18,11 @@
 
 namespace sparbend {
 
-class FairParts {
+class FairShares {
  public:
   // The excess of a flow that gets nothing more while another that was served
   // much less is refused requests.
-  static constexpr double kYields = std::numeric_limits<double>::infinity();
+  static constexpr double kMustYield = std::numeric_limits<double>::infinity();
 
   // What a pool's targets together serve, tokens a second, as it is declared;
   // zero: not known.
@@ -48,7 +48,7 @@
     return served_.Of(flow, now);
   }
   // How many times `flow` had its fair part; from 1 on it may only take what
-  // nobody else wants, and nothing at kYields.
+  // nobody else wants, and nothing at kMustYield.
   auto Excess(Flow flow, Millis now) const -> double;
 
   // Where a flow stands, for the log: tokens it was served as peers told, is
--- a/sparbend/core/placement.cc
+++ b/sparbend/core/placement.cc
@@ -227,7 +227,7 @@
 }
 
 auto Placement::Spare(double queue_ms, bool half_empty, double excess) -> bool {
-  return half_empty && excess < FairParts::kYields &&
+  return half_empty && excess < FairShares::kMustYield &&
          queue_ms * excess <= kSpareQueueMs;
 }
 
--- a/sparbend/core/word_exchange.cc
+++ b/sparbend/core/word_exchange.cc
@@ -9,7 +9,7 @@
 // needs nobody in particular to live.
 //
 // Invariant: in a large fleet the books of other boxes' work (Placement,
-// FairParts) have one source, the fleet's sum less this box's own part.
+// FairShares) have one source, the fleet's sum less this box's own part.
 #include "sparbend/core/word_exchange.h"
 
 #include <algorithm>
