--- a/sparbend/core/all_targets_back_off_test.cc
+++ b/sparbend/core/all_targets_back_off_test.cc
@@ -25,7 +25,7 @@
 }
 
 auto BackOff(Node* node, int target, Millis span, Millis now) {
-  node->entry().placement().OnRetryAfter(
+  node->ingress_scheduler().placement().OnRetryAfter(
       TargetIdOf("target-" + std::to_string(target)), span, now);
 }
 
@@ -43,7 +43,7 @@
   for (size_t i = 0; i < spans.size(); ++i)
     BackOff(&node, static_cast<int>(i), spans[i], start);
   const QueuedRequest request = Request(1, due, start);
-  if (node.entry().TryStart(request, start))
+  if (node.ingress_scheduler().TryStart(request, start))
     return {std::nullopt, Millis(0)};
   if (auto refused = node.Enqueue(request))
     return {refused, std::nullopt};
@@ -113,10 +113,13 @@
   moved.targets.front().address = "127.0.0.1:9";
   node.SetList(moved, now);
   node.SetCatalog(EngineCatalog());
-  CHECK(!node.entry().TryStart(Request(1, Millis(500), now), now).has_value());
+  CHECK(!node.ingress_scheduler()
+             .TryStart(Request(1, Millis(500), now), now)
+             .has_value());
   const Millis after = now + Millis(2'300);
-  CHECK(
-      node.entry().TryStart(Request(1, Millis(500), after), after).has_value());
+  CHECK(node.ingress_scheduler()
+            .TryStart(Request(1, Millis(500), after), after)
+            .has_value());
 }
 
 }  // namespace
--- a/sparbend/core/backoff_fleet_test.cc
+++ b/sparbend/core/backoff_fleet_test.cc
@@ -125,7 +125,8 @@
     request.work.objective = kObjective;
     request.work.first_byte_due = call.first + kObjective;
     Node& node = nodes_.at(box);
-    if (const auto dispatch = node.entry().TryStart(request, nodes_.now()))
+    if (const auto dispatch =
+            node.ingress_scheduler().TryStart(request, nodes_.now()))
       Arrive(box, *dispatch);
     else if (const auto refusal = node.Enqueue(request))
       Refuse(id, refusal->retry_after);
@@ -165,10 +166,10 @@
     refusals.push_back(nodes_.now());
     late_.erase({box, number});
     Node& node = nodes_.at(box);
-    node.entry().placement().OnRetryAfter(dispatch.target, kAsked,
-                                          nodes_.now());
-    node.entry().Requeue(dispatch.request,
-                         calls_.at(dispatch.request).first + kPatience);
+    node.ingress_scheduler().placement().OnRetryAfter(dispatch.target, kAsked,
+                                                      nodes_.now());
+    node.ingress_scheduler().Requeue(
+        dispatch.request, calls_.at(dispatch.request).first + kPatience);
   }
 
   static auto NumberOf(TargetId id) -> int {
@@ -194,7 +195,7 @@
          event != events_.end() && event->first <= nodes_.now();
          event = events_.erase(event)) {
       const Work& run = event->second;
-      Entry& entry = nodes_.at(run.box).entry();
+      IngressScheduler& entry = nodes_.at(run.box).ingress_scheduler();
       if (!run.begun) {
         entry.OnBytes(run.id, nodes_.now());
         const Call& call = calls_.at(run.id);
--- a/sparbend/core/entry.cc
+++ b/sparbend/core/entry.cc
@@ -53,17 +53,17 @@
   return static_cast<Policy>(found - kPolicyNames.begin());
 }
 
-Entry::Entry(ServiceCounters* ledger,
-             Policy policy,
-             QueueLimits limits,
-             const std::string& hall)
+IngressScheduler::IngressScheduler(ServiceCounters* ledger,
+                                   Policy policy,
+                                   QueueLimits limits,
+                                   const std::string& hall)
     : ledger_(ledger),
       policy_(policy),
       queues_(limits),
       catalog_(std::make_shared<Catalog>()),
       placement_(hall) {}
 
-void Entry::SetCatalog(std::shared_ptr<const Catalog> catalog) {
+void IngressScheduler::SetCatalog(std::shared_ptr<const Catalog> catalog) {
   catalog_ = std::move(catalog);
   ways_.clear();
   std::map<PoolId, PoolLimits> limits;
@@ -78,7 +78,7 @@
   placement_.SetPools(std::move(limits));
 }
 
-void Entry::SetTargets(const std::vector<TargetDuty>& targets) {
+void IngressScheduler::SetTargets(const std::vector<TargetDuty>& targets) {
   targets_.clear();
   ways_.clear();
   std::set<TargetId> usable;
@@ -96,16 +96,17 @@
   placement_.SetTargets(std::move(placed));
 }
 
-void Entry::OnLoad(TargetId target, int running) {
+void IngressScheduler::OnLoad(TargetId target, int running) {
   loads_[target] = running;
 }
 
-auto Entry::Permitted(Flow flow, const std::string& hall) const -> bool {
+auto IngressScheduler::Permitted(Flow flow, const std::string& hall) const
+    -> bool {
   const Workspace* workspace = catalog_->FindWorkspace(flow.workspace);
   return workspace != nullptr && MayServeIn(*workspace, hall);
 }
 
-auto Entry::FindWays(Flow flow) const -> Ways {
+auto IngressScheduler::FindWays(Flow flow) const -> Ways {
   const Workspace* workspace = catalog_->FindWorkspace(flow.workspace);
   if (workspace == nullptr)
     return {Refusal{kForbidden, Verdict::kNotRun, "the workspace is gone",
@@ -136,24 +137,26 @@
   return {std::nullopt, {allocators.begin(), allocators.end()}};
 }
 
-auto Entry::WaysOf(Flow flow) const -> const Ways& {
+auto IngressScheduler::WaysOf(Flow flow) const -> const Ways& {
   const auto found = ways_.find(flow);
   return found != ways_.end()
              ? found->second
              : ways_.emplace(flow, FindWays(flow)).first->second;
 }
 
-auto Entry::WhyUnservable(Flow flow) const -> std::optional<Refusal> {
+auto IngressScheduler::WhyUnservable(Flow flow) const
+    -> std::optional<Refusal> {
   return WaysOf(flow).unservable;
 }
 
-auto Entry::WhyFull(const Workspace& workspace) const
+auto IngressScheduler::WhyFull(const Workspace& workspace) const
     -> std::optional<Refusal> {
   const std::optional<QueueFull> full = queues_.WhyFull(workspace, 0);
   return full ? std::optional(RefusalOf(*full)) : std::nullopt;
 }
 
-auto Entry::Enqueue(const QueuedRequest& request) -> std::optional<Refusal> {
+auto IngressScheduler::Enqueue(const QueuedRequest& request)
+    -> std::optional<Refusal> {
   if (std::optional<Refusal> refusal = WhyUnservable(request.flow))
     return refusal;
   if (const auto left = AllBackOff(request.flow, request.arrived)) {
@@ -169,11 +172,11 @@
   return full ? std::optional(RefusalOf(*full)) : std::nullopt;
 }
 
-auto Entry::Cancel(RequestId id) -> bool {
+auto IngressScheduler::Cancel(RequestId id) -> bool {
   return queues_.Remove(id).has_value();
 }
 
-void Entry::Charge(Flow flow, int64_t tokens) {
+void IngressScheduler::Charge(Flow flow, int64_t tokens) {
   const Workspace* workspace = catalog_->FindWorkspace(flow.workspace);
   const int64_t share = workspace == nullptr ? 1 : workspace->share;
   ledger_->Charge(flow, Normalised(tokens, share));
@@ -181,7 +184,9 @@
     fair_parts_.Served(flow, tokens / std::max<int64_t>(1, share), now_);
 }
 
-void Entry::Start(const QueuedRequest& request, TargetId target, Millis now) {
+void IngressScheduler::Start(const QueuedRequest& request,
+                             TargetId target,
+                             Millis now) {
   now_ = now;
   const int64_t estimate = EstimateOf(request.flow, request.work);
   Charge(request.flow, estimate);
@@ -189,7 +194,7 @@
   running_[request.id] = Running{request, target, estimate};
 }
 
-void Entry::Progress(RequestId id, int64_t tokens) {
+void IngressScheduler::Progress(RequestId id, int64_t tokens) {
   const auto found = running_.find(id);
   if (found == running_.end() || tokens <= found->second.charged)
     return;
@@ -197,7 +202,7 @@
   found->second.charged = tokens;
 }
 
-void Entry::Finish(RequestId id, int64_t tokens) {
+void IngressScheduler::Finish(RequestId id, int64_t tokens) {
   const auto found = running_.find(id);
   if (found == running_.end())
     return;
@@ -210,7 +215,7 @@
   running_.erase(found);
 }
 
-void Entry::Requeue(RequestId id, Millis until) {
+void IngressScheduler::Requeue(RequestId id, Millis until) {
   const auto found = running_.find(id);
   if (found == running_.end())
     return;
@@ -221,7 +226,7 @@
   queues_.PushFront(request);
 }
 
-auto Entry::FreeAt(TargetId target) const -> int {
+auto IngressScheduler::FreeAt(TargetId target) const -> int {
   if (policy_ != Policy::kIndependent)
     return leases_.Free(target);
   // On its own a box can only split the slots evenly, or trust the target's
@@ -234,7 +239,8 @@
   return std::max(even_part - own, own < slots ? reported_free : 0);
 }
 
-auto Entry::MayUse(Flow flow, const TargetDuty& target) const -> bool {
+auto IngressScheduler::MayUse(Flow flow, const TargetDuty& target) const
+    -> bool {
   const TargetId id = target.view.id;
   if (policy_ == Policy::kIndependent || policy_ == Policy::kLeases ||
       leases_.Keep(id) || leases_.MeantFor(id, flow.workspace))
@@ -247,7 +253,7 @@
   return ledger_->Service(flow) <= floor->second;
 }
 
-auto Entry::Rank(const QueuedRequest& request, TargetId id) const
+auto IngressScheduler::Rank(const QueuedRequest& request, TargetId id) const
     -> std::optional<std::pair<bool, int>> {
   const auto target = targets_.find(id);
   if (target == targets_.end())
@@ -262,7 +268,7 @@
   return std::pair(!request.avoid.contains(id), free);
 }
 
-auto Entry::ChooseTarget(const QueuedRequest& request) const
+auto IngressScheduler::ChooseTarget(const QueuedRequest& request) const
     -> std::optional<TargetId> {
   std::optional<TargetId> best;
   std::pair<bool, int> best_rank;
@@ -283,7 +289,7 @@
   return best;
 }
 
-auto Entry::TryStart(const QueuedRequest& request, Millis now)
+auto IngressScheduler::TryStart(const QueuedRequest& request, Millis now)
     -> std::optional<Dispatch> {
   if (queues_.total() != 0 || WhyUnservable(request.flow))
     return std::nullopt;
@@ -296,7 +302,7 @@
   return Dispatch{request.id, *target, {}};
 }
 
-auto Entry::FlowsByService(Millis now) const -> std::vector<Flow> {
+auto IngressScheduler::FlowsByService(Millis now) const -> std::vector<Flow> {
   std::vector<std::pair<int64_t, Flow>> order;
   for (const auto& [flow, queue] : queues_.queues())
     order.emplace_back(policy_ == Policy::kShared
@@ -310,7 +316,7 @@
   return flows;
 }
 
-auto Entry::Schedule(Millis now) -> std::vector<Dispatch> {
+auto IngressScheduler::Schedule(Millis now) -> std::vector<Dispatch> {
   if (policy_ == Policy::kShared)
     return ScheduleShared(now);
   leases_.Lapse(now);
@@ -336,7 +342,7 @@
   return dispatches;
 }
 
-void Entry::HandBack() {
+void IngressScheduler::HandBack() {
   if (policy_ == Policy::kIndependent || policy_ == Policy::kShared)
     return;
   for (const TargetId target : leases_.free_targets()) {
@@ -345,13 +351,13 @@
   }
 }
 
-auto Entry::KeepsSlots() const -> bool {
+auto IngressScheduler::KeepsSlots() const -> bool {
   const std::vector<TargetId> free = leases_.free_targets();
   return std::ranges::all_of(
       free, [&](TargetId target) { return leases_.Keep(target); });
 }
 
-auto Entry::TakeExpired(Millis now) -> std::vector<RequestId> {
+auto IngressScheduler::TakeExpired(Millis now) -> std::vector<RequestId> {
   std::vector<RequestId> expired;
   for (const QueuedRequest& request : queues_.TakeExpired(now)) {
     Deny(request.flow, request.work, now);
@@ -360,7 +366,7 @@
   return expired;
 }
 
-auto Entry::TakeUnservable(Millis now)
+auto IngressScheduler::TakeUnservable(Millis now)
     -> std::vector<std::pair<RequestId, Refusal>> {
   std::vector<std::pair<RequestId, Refusal>> taken;
   for (const auto& [flow, queue] : queues_.queues()) {
@@ -380,7 +386,9 @@
   return taken;
 }
 
-void Entry::OnNotice(BoxId from, const LeaseNotice& notice, Millis now) {
+void IngressScheduler::OnNotice(BoxId from,
+                                const LeaseNotice& notice,
+                                Millis now) {
   int fresh = 0;
   if (!leases_.OnNotice(from, notice, now, &fresh))
     return;
@@ -391,14 +399,15 @@
     demand_.OnGranted(from, {target->second.view.pool, workspace}, 1);
 }
 
-void Entry::OnFloors(BoxId from, const std::vector<SlotKeepLimit>& floors) {
+void IngressScheduler::OnFloors(BoxId from,
+                                const std::vector<SlotKeepLimit>& floors) {
   std::erase_if(floors_,
                 [&](const auto& entry) { return entry.first.first == from; });
   for (const SlotKeepLimit& floor : floors)
     floors_[{from, floor.pool}] = floor.value;
 }
 
-void Entry::UpdateDemand(Millis now) {
+void IngressScheduler::UpdateDemand(Millis now) {
   DemandTeller::Levels levels;
   for (const auto& [flow, queue] : queues_.queues()) {
     DemandTeller::Level level;
--- a/sparbend/core/entry.h
+++ b/sparbend/core/entry.h
@@ -49,13 +49,13 @@
   auto operator==(const Dispatch&) const -> bool = default;
 };
 
-class Entry {
+class IngressScheduler {
  public:
   // `ledger` must outlive the entry.
-  Entry(ServiceCounters* ledger,
-        Policy policy,
-        QueueLimits limits,
-        const std::string& hall);
+  IngressScheduler(ServiceCounters* ledger,
+                   Policy policy,
+                   QueueLimits limits,
+                   const std::string& hall);
 
   void SetCatalog(std::shared_ptr<const Catalog> catalog);
   // All targets and, for each, the box that allocates it, if any lives.
--- a/sparbend/core/entry_shared.cc
+++ b/sparbend/core/entry_shared.cc
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-auto Entry::OverFairPart(Flow flow, Millis now) const -> Refusal {
+auto IngressScheduler::OverFairPart(Flow flow, Millis now) const -> Refusal {
   const FairShares::Standing standing = fair_parts_.StandingOf(flow, now);
   return {kTooManyRequests, Verdict::kNotRun,
           "the workspace had more than its fair part, and nothing is to spare: "
@@ -48,7 +48,8 @@
           placement_.Relief(flow.pool, now)};
 }
 
-auto Entry::AllBackOff(Flow flow, Millis now) const -> std::optional<Millis> {
+auto IngressScheduler::AllBackOff(Flow flow, Millis now) const
+    -> std::optional<Millis> {
   if (policy_ != Policy::kShared || placement_.backoff().empty())
     return std::nullopt;
   return placement_.AllBackOff(
@@ -58,8 +59,9 @@
 
 // It would be late by then. Its caller may be served elsewhere meanwhile, or
 // come back when there is room.
-auto Entry::WhyNotWait(const QueuedRequest& request, Millis left, Millis now)
-    -> std::optional<Refusal> {
+auto IngressScheduler::WhyNotWait(const QueuedRequest& request,
+                                  Millis left,
+                                  Millis now) -> std::optional<Refusal> {
   const Millis due = request.work.first_byte_due;
   const Millis useful =
       due > Millis(0) ? std::min(due, request.expires) : request.expires;
@@ -69,12 +71,13 @@
                  "all targets turn requests away for now", left};
 }
 
-auto Entry::EstimateOf(Flow flow, const WorkFacts& work) const -> int64_t {
+auto IngressScheduler::EstimateOf(Flow flow, const WorkFacts& work) const
+    -> int64_t {
   return work.prompt_tokens > 0 ? work.prompt_tokens + 2 * work.output_tokens
                                 : estimator_.Expected(flow);
 }
 
-void Entry::Deny(Flow flow, const WorkFacts& work, Millis now) {
+void IngressScheduler::Deny(Flow flow, const WorkFacts& work, Millis now) {
   const Workspace* workspace = catalog_->FindWorkspace(flow.workspace);
   const int64_t share = workspace == nullptr ? 1 : workspace->share;
   fair_parts_.Denied(flow, EstimateOf(flow, work) / std::max<int64_t>(1, share),
@@ -84,7 +87,7 @@
 // What waits already will use up whatever becomes free in time for one more.
 // One that came back too late to be in time would take the place of one that
 // still can be.
-auto Entry::WhyShedAtOnce(const QueuedRequest& request) const
+auto IngressScheduler::WhyShedAtOnce(const QueuedRequest& request) const
     -> std::optional<Refusal> {
   const bool no_objective = request.work.first_byte_due <= Millis(0);
   if (policy_ != Policy::kShared || no_objective ||
@@ -96,7 +99,8 @@
   return OverFairPart(request.flow, request.arrived);
 }
 
-auto Entry::TakeShed(Millis now) -> std::vector<std::pair<RequestId, Refusal>> {
+auto IngressScheduler::TakeShed(Millis now)
+    -> std::vector<std::pair<RequestId, Refusal>> {
   std::vector<std::pair<RequestId, Refusal>> shed;
   if (policy_ != Policy::kShared)
     return shed;
@@ -118,8 +122,8 @@
   return shed;
 }
 
-auto Entry::ChooseShared(const QueuedRequest& request, Millis now) const
-    -> std::optional<Choice> {
+auto IngressScheduler::ChooseShared(const QueuedRequest& request,
+                                    Millis now) const -> std::optional<Choice> {
   const Workspace* workspace = catalog_->FindWorkspace(request.flow.workspace);
   if (workspace == nullptr)
     return std::nullopt;
@@ -131,7 +135,7 @@
       fair_parts_.Excess(request.flow, now), now);
 }
 
-auto Entry::TryStartShared(const QueuedRequest& request, Millis now)
+auto IngressScheduler::TryStartShared(const QueuedRequest& request, Millis now)
     -> std::optional<Dispatch> {
   const std::optional<Choice> choice = ChooseShared(request, now);
   if (!choice)
@@ -141,7 +145,7 @@
   return Dispatch{request.id, choice->target, *choice};
 }
 
-auto Entry::StartFirstOf(Flow flow, Millis now, size_t* tries)
+auto IngressScheduler::StartFirstOf(Flow flow, Millis now, size_t* tries)
     -> std::optional<Dispatch> {
   const auto found = queues_.queues().find(flow);
   const double excess = fair_parts_.Excess(flow, now);
@@ -165,7 +169,7 @@
   return std::nullopt;
 }
 
-auto Entry::ScheduleShared(Millis now) -> std::vector<Dispatch> {
+auto IngressScheduler::ScheduleShared(Millis now) -> std::vector<Dispatch> {
   std::vector<Dispatch> dispatches;
   placement_.Expire(now);
   if (queues_.total() == 0 || now - shared_pass_ < kPassInterval)
--- a/sparbend/core/entry_shared_test.cc
+++ b/sparbend/core/entry_shared_test.cc
@@ -10,7 +10,7 @@
 
 TEST_GROUP(SharedPolicy) {
   ServiceCounters ledger{1};
-  Entry entry{&ledger, Policy::kShared, QueueLimits(), "h"};
+  IngressScheduler entry{&ledger, Policy::kShared, QueueLimits(), "h"};
   uint64_t next_id = 1;
 
   void setup() override {
--- a/sparbend/core/evacuated_halls_test.cc
+++ b/sparbend/core/evacuated_halls_test.cc
@@ -60,7 +60,7 @@
 
   void FinishAll() {
     for (const RequestId id : started_)
-      node_.entry().Finish(id, 1);
+      node_.ingress_scheduler().Finish(id, 1);
     started_.clear();
   }
 
--- a/sparbend/core/fleet_words_test.cc
+++ b/sparbend/core/fleet_words_test.cc
@@ -77,8 +77,12 @@
     int64_t most = 0;
     for (int i = 0; i < targets_; ++i) {
       const TargetId target = TargetIdOf("target-" + std::to_string(i));
-      const auto believed = static_cast<int64_t>(
-          nodes_.at(box).entry().placement().loads().Total(target).running);
+      const auto believed = static_cast<int64_t>(nodes_.at(box)
+                                                     .ingress_scheduler()
+                                                     .placement()
+                                                     .loads()
+                                                     .Total(target)
+                                                     .running);
       most = std::max(most, std::abs(believed - TrueLoad(target)));
     }
     return most;
@@ -95,13 +99,15 @@
     double truth = 0;
     for (int box = 0; box < nodes_.size(); ++box) {
       for (const FlowValue& own :
-           nodes_.at(box).entry().fair_parts().OwnServed(100, nodes_.now()))
+           nodes_.at(box).ingress_scheduler().fair_parts().OwnServed(
+               100, nodes_.now()))
         truth += own.flow == flow ? static_cast<double>(own.value) : 0;
     }
     Errors errors;
     for (int box = 0; box < nodes_.size(); ++box) {
       const auto believed = static_cast<double>(
-          nodes_.at(box).entry().fair_parts().ServedLately(flow, nodes_.now()));
+          nodes_.at(box).ingress_scheduler().fair_parts().ServedLately(
+              flow, nodes_.now()));
       const double error = std::abs(believed - truth) / truth;
       errors.mean += error / nodes_.size();
       errors.worst = std::max(errors.worst, error);
@@ -123,7 +129,12 @@
     int64_t sum = 0;
     for (int box = 0; box < nodes_.size(); ++box) {
       if (nodes_.alive(box))
-        sum += nodes_.at(box).entry().placement().loads().Own(target).running;
+        sum += nodes_.at(box)
+                   .ingress_scheduler()
+                   .placement()
+                   .loads()
+                   .Own(target)
+                   .running;
     }
     return sum;
   }
@@ -136,12 +147,12 @@
     request.arrived = nodes_.now();
     request.work.prompt_tokens = 2'000;
     Node& node = nodes_.at(box);
-    if (!node.entry().TryStart(request, nodes_.now()))
+    if (!node.ingress_scheduler().TryStart(request, nodes_.now()))
       return;
     std::vector<RequestId>& running = running_[box];
     running.push_back(request.id);
     if (running.size() > kAtOnce) {
-      node.entry().Finish(running.front(), 100);
+      node.ingress_scheduler().Finish(running.front(), 100);
       running.erase(running.begin());
     }
   }
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -231,7 +231,7 @@
   if (options_.policy == Policy::kShared && !targets_changed_)
     return;
   targets_changed_ = false;
-  std::vector<Entry::TargetDuty> all;
+  std::vector<IngressScheduler::TargetDuty> all;
   std::vector<TargetView> duties;
   for (const auto& [id, target] : targets_) {
     const bool closed =
--- a/sparbend/core/node.h
+++ b/sparbend/core/node.h
@@ -92,8 +92,8 @@
 
   // What callers and targets do; see Entry.
   auto Enqueue(const QueuedRequest& request) -> std::optional<Refusal>;
-  auto entry() -> Entry& { return entry_; }
-  auto entry() const -> const Entry& { return entry_; }
+  auto ingress_scheduler() -> IngressScheduler& { return entry_; }
+  auto entry() const -> const IngressScheduler& { return entry_; }
 
   // A datagram from outside; any bytes are safe. The error says why it was
   // not taken. What it tells the age of is older by `waited`, for which it lay
@@ -176,7 +176,7 @@
   NodeOptions options_;
   Members members_;
   ServiceCounters ledger_;
-  Entry entry_;
+  IngressScheduler entry_;
   Allocators allocators_;
   LoadReportExchange exchange_;  // under kShared
   Quarantine quarantine_;
--- a/sparbend/core/node_words_test.cc
+++ b/sparbend/core/node_words_test.cc
@@ -32,7 +32,7 @@
     request.work.prompt_tokens = 20'000;
     request.work.prefixes = {{static_cast<PrefixId>(i) + 1'000'000, 15'000}};
     request.work.first_byte_due = nodes.now() + Millis(800);
-    sender.entry().TryStart(request, nodes.now());
+    sender.ingress_scheduler().TryStart(request, nodes.now());
   }
   const Effects effects = sender.Run(nodes.now());
   CHECK(effects.datagrams.size() > 1);
@@ -40,8 +40,8 @@
     CHECK(outgoing.bytes.size() <= kMaxDatagramBytes);
     CHECK(!nodes.at(1).OnDatagram(outgoing.bytes, nodes.now()));
   }
-  const LoadBook& known = nodes.at(1).entry().placement().loads();
-  const LoadBook& sent = sender.entry().placement().loads();
+  const LoadBook& known = nodes.at(1).ingress_scheduler().placement().loads();
+  const LoadBook& sent = sender.ingress_scheduler().placement().loads();
   for (int i = 0; i < kTargets; ++i) {
     const TargetId target = TargetIdOf("target-" + std::to_string(i));
     LONGS_EQUAL(sent.Own(target).running, known.Total(target).running);
--- a/sparbend/core/word_exchange.cc
+++ b/sparbend/core/word_exchange.cc
@@ -118,7 +118,7 @@
 LoadReportExchange::LoadReportExchange(std::string name,
                                        std::string hall,
                                        Members* members,
-                                       Entry* entry)
+                                       IngressScheduler* entry)
     : name_(std::move(name)),
       hall_(std::move(hall)),
       members_(members),
--- a/sparbend/core/word_exchange.h
+++ b/sparbend/core/word_exchange.h
@@ -43,7 +43,7 @@
   LoadReportExchange(std::string name,
                      std::string hall,
                      Members* members,
-                     Entry* entry);
+                     IngressScheduler* entry);
 
   // A datagram of a listed box. kRefused for a sum that this box has no use
   // for, as of another hall's boxes to each other; kInvalid for one that no
@@ -104,7 +104,7 @@
   std::string name_;
   std::string hall_;
   Members* members_;
-  Entry* entry_;
+  IngressScheduler* entry_;
   Aggregators aggregators_;
   HallAggregates sums_;
   AggregateAssembler assembly_;
--- a/sparbend/core/word_exchange_test.cc
+++ b/sparbend/core/word_exchange_test.cc
@@ -51,7 +51,7 @@
 
   auto Running(int box) -> uint32_t {
     return fleet->at(box)
-        .entry()
+        .ingress_scheduler()
         .placement()
         .loads()
         .Total(TargetIdOf("target-0"))
--- a/sparbend/services/admin.cc
+++ b/sparbend/services/admin.cc
@@ -197,15 +197,16 @@
     const TargetId id = IdOf(target);
     const auto allocator = node.members().AllocatorOf(id, target.hall, now);
     const BoxEntry* box = allocator ? node.members().Find(*allocator) : nullptr;
-    targets.push_back({{"name", target.name},
-                       {"hall", target.hall},
-                       {"pool", target.pool},
-                       {"slots", target.slots},
-                       {"leaving", node.TargetLeaving(id)},
-                       {"allocator", box == nullptr ? "" : box->name},
-                       {"held", node.entry().leases().Free(id) +
-                                    node.entry().leases().InFlight(id)},
-                       {"in_flight", node.entry().leases().InFlight(id)}});
+    targets.push_back(
+        {{"name", target.name},
+         {"hall", target.hall},
+         {"pool", target.pool},
+         {"slots", target.slots},
+         {"leaving", node.TargetLeaving(id)},
+         {"allocator", box == nullptr ? "" : box->name},
+         {"held", node.ingress_scheduler().leases().Free(id) +
+                      node.ingress_scheduler().leases().InFlight(id)},
+         {"in_flight", node.ingress_scheduler().leases().InFlight(id)}});
   }
   Json workspaces = Json::array();
   for (const auto& [name, workspace] : config_->catalog()->workspaces()) {
@@ -216,7 +217,7 @@
            {"pool", pool},
            {"share", workspace.share},
            {"service", node.ledger().RawService(flow) / kServiceUnit},
-           {"queued", node.entry().queues().Count(flow)}});
+           {"queued", node.ingress_scheduler().queues().Count(flow)}});
     }
   }
   return Json{{"box", settings_.name},
@@ -227,8 +228,8 @@
               {"draining", draining_},
               {"offset", config_->version()},
               {"digest", fold_ ? fold_->fold().Digest() : ""},
-              {"queued", node.entry().queues().total()},
-              {"in_flight", node.entry().in_flight()},
+              {"queued", node.ingress_scheduler().queues().total()},
+              {"in_flight", node.ingress_scheduler().in_flight()},
               {"boxes", boxes},
               {"targets", targets},
               {"workspaces", workspaces},
@@ -267,8 +268,8 @@
   Json pools = Json::array();
   for (const std::string& pool : workspace->pools) {
     const Flow flow = {PoolIdOf(pool), workspace->number};
-    const auto refusal = node.entry().WhyUnservable(flow);
-    const QueuedRequest* front = node.entry().queues().Front(flow);
+    const auto refusal = node.ingress_scheduler().WhyUnservable(flow);
+    const QueuedRequest* front = node.ingress_scheduler().queues().Front(flow);
     std::string why = "nothing waits here";
     if (refusal)
       why = refusal->reason;
@@ -278,7 +279,7 @@
           "the least service per share is next";
     pools.push_back(
         {{"pool", pool},
-         {"queued_here", node.entry().queues().Count(flow)},
+         {"queued_here", node.ingress_scheduler().queues().Count(flow)},
          {"waiting_ms",
           front == nullptr ? 0 : (kernel_->Now() - front->arrived).count()},
          {"service_per_share", node.ledger().Service(flow) / kServiceUnit},
--- a/sparbend/services/front.cc
+++ b/sparbend/services/front.cc
@@ -159,7 +159,7 @@
 // box that is behind is taken to ask for little, and nobody yields to it.
 auto Front::BehindWork(const Exchange& exchange) -> Refusal {
   if (exchange.pool != nullptr)
-    scheduler_->node().entry().Deny(
+    scheduler_->node().ingress_scheduler().Deny(
         {PoolIdOf(exchange.pool->name), exchange.workspace->number},
         exchange.work, exchange.received);
   return NotRun(503, "this box is behind its work", kRetryAfterFlood);
@@ -325,7 +325,7 @@
     return refusal;
   if (scheduler_->overload().flooded())
     return BehindWork(*exchange);
-  return scheduler_->node().entry().WhyFull(*exchange->workspace);
+  return scheduler_->node().ingress_scheduler().WhyFull(*exchange->workspace);
 }
 
 auto Front::ServeOne(Session* session) -> asio::awaitable<bool> {
--- a/sparbend/services/scheduler.cc
+++ b/sparbend/services/scheduler.cc
@@ -175,8 +175,8 @@
   if (overload_.busy() != before)
     Log(LogLevel::kWarning, before ? "overload-over" : "overloaded",
         {{"lag_ms", overload_.lag().count()},
-         {"queued", node_.entry().queues().total()},
-         {"in_flight", node_.entry().in_flight()}});
+         {"queued", node_.ingress_scheduler().queues().total()},
+         {"in_flight", node_.ingress_scheduler().in_flight()}});
 }
 
 void Scheduler::Poke() {
@@ -209,9 +209,11 @@
     Settle(dispatch.request, SlotFor(dispatch));
   if (node_.NextWake(now) < wake_before)
     tick_.cancel();
-  metrics_->queued.Set(static_cast<double>(node_.entry().queues().total()));
+  metrics_->queued.Set(
+      static_cast<double>(node_.ingress_scheduler().queues().total()));
   metrics_->live_boxes.Set(static_cast<double>(node_.live_boxes()));
-  metrics_->in_flight.Set(static_cast<double>(node_.entry().in_flight()));
+  metrics_->in_flight.Set(
+      static_cast<double>(node_.ingress_scheduler().in_flight()));
   metrics_->control_cpu_us.Increment(
       static_cast<double>(ThreadCpuMicros() - before));
 }
@@ -233,7 +235,7 @@
           dispatch.target,           entry->name,    entry->hall, *address,
           SourceOf(dispatch.choice), dispatch.choice};
   }
-  node_.entry().Finish(dispatch.request, 0);
+  node_.ingress_scheduler().Finish(dispatch.request, 0);
   return Refusal{503, Verdict::kNotRun, "the target left the list",
                  Millis(1'000)};
 }
@@ -242,7 +244,7 @@
   const auto found = waiters_.find(id);
   if (found == waiters_.end()) {
     // Nobody waits any more: the slot goes back unused.
-    node_.entry().Finish(id, 0);
+    node_.ingress_scheduler().Finish(id, 0);
     return;
   }
   found->second->outcome = std::move(outcome);
@@ -267,7 +269,7 @@
 auto Scheduler::Acquire(QueuedRequest request)
     -> asio::awaitable<SlotOrRefusal> {
   if (const std::optional<Dispatch> dispatch =
-          node_.entry().TryStart(request, kernel_->Now())) {
+          node_.ingress_scheduler().TryStart(request, kernel_->Now())) {
     metrics_->queue_seconds.Observe(0);
     co_return SlotFor(*dispatch);
   }
@@ -278,22 +280,23 @@
 
 auto Scheduler::AcquireAgain(RequestId id, Millis until)
     -> asio::awaitable<SlotOrRefusal> {
-  node_.entry().Requeue(id, until);
+  node_.ingress_scheduler().Requeue(id, until);
   co_return co_await Wait(id);
 }
 
 void Scheduler::Abandon(RequestId id) {
-  if (node_.entry().Cancel(id))
+  if (node_.ingress_scheduler().Cancel(id))
     Settle(id, Refusal{kCallerLeft, Verdict::kNotRun, "the caller left",
                        Millis(0)});
 }
 
 void Scheduler::OnBytes(RequestId id) {
-  node_.entry().OnBytes(id, kernel_->Now());
+  node_.ingress_scheduler().OnBytes(id, kernel_->Now());
 }
 
 void Scheduler::OnOutcome(TargetId target, TargetOutcome outcome) {
-  if (!node_.entry().placement().OnOutcome(target, outcome, kernel_->Now()))
+  if (!node_.ingress_scheduler().placement().OnOutcome(target, outcome,
+                                                       kernel_->Now()))
     return;
   metrics_->ejections.Increment();
   const TargetEntry* entry = node_.FindTarget(target);
@@ -303,7 +306,7 @@
 }
 
 void Scheduler::OnReachable(TargetId target) {
-  node_.entry().placement().OnReachable(target, kernel_->Now());
+  node_.ingress_scheduler().placement().OnReachable(target, kernel_->Now());
   const TargetEntry* entry = node_.FindTarget(target);
   Log(LogLevel::kInfo, "target-reachable",
       {{"target", entry == nullptr ? "" : entry->name}});
@@ -311,15 +314,16 @@
 }
 
 void Scheduler::Progress(RequestId id, int64_t tokens) {
-  node_.entry().Progress(id, tokens);
+  node_.ingress_scheduler().Progress(id, tokens);
 }
 
 void Scheduler::Finish(RequestId id, int64_t tokens) {
-  node_.entry().Finish(id, tokens);
+  node_.ingress_scheduler().Finish(id, tokens);
   metrics_->tokens.Increment(static_cast<double>(tokens));
   // A slot that may be kept waits for the next request; telling can wait for
   // the next datagram.
-  if (node_.entry().queues().total() != 0 || !node_.entry().KeepsSlots())
+  if (node_.ingress_scheduler().queues().total() != 0 ||
+      !node_.ingress_scheduler().KeepsSlots())
     Poke();
 }
 
@@ -387,14 +391,15 @@
 }
 
 void Scheduler::OnRetryAfter(TargetId target, Millis span) {
-  node_.entry().placement().OnRetryAfter(target, span, kernel_->Now());
+  node_.ingress_scheduler().placement().OnRetryAfter(target, span,
+                                                     kernel_->Now());
   Poke();
 }
 
 // The lines show whether requests went on after a target had asked for none.
 void Scheduler::NoteBackoff(Millis now) {
   for (const TargetBackoff::Ended& ended :
-       node_.entry().placement().backoff().TakeEnded(now)) {
+       node_.ingress_scheduler().placement().backoff().TakeEnded(now)) {
     const TargetEntry* entry = node_.FindTarget(ended.target);
     Log(LogLevel::kInfo, "target-backoff-ended",
         {{"target", entry == nullptr ? "" : entry->name},
@@ -407,7 +412,7 @@
 }
 
 void Scheduler::OnTargetLoad(TargetId target, int running) {
-  node_.entry().OnLoad(target, running);
+  node_.ingress_scheduler().OnLoad(target, running);
 }
 
 void Scheduler::Leave() {
--- a/sparbend/services/target_probe.cc
+++ b/sparbend/services/target_probe.cc
@@ -30,7 +30,7 @@
     pause = std::min(kLongestPause, pause + pause);
     // A connection takes up a place at a target that has none to spare.
     const TargetBackoff& backoff =
-        scheduler_->node().entry().placement().backoff();
+        scheduler_->node().ingress_scheduler().placement().backoff();
     if (backoff.Left(target, kernel_->Now()) > Millis(0))
       continue;
     if (!co_await TryConnect(address, connect_time_)) {
