--- a/sparbend/core/entry.cc
+++ b/sparbend/core/entry.cc
@@ -78,11 +78,12 @@
   placement_.SetPools(std::move(limits));
 }
 
-void IngressScheduler::SetTargets(const std::vector<TargetDuty>& targets) {
+void IngressScheduler::SetTargets(
+    const std::vector<TargetAssignment>& targets) {
   targets_.clear();
   ways_.clear();
   std::set<TargetId> usable;
-  for (const TargetDuty& target : targets) {
+  for (const TargetAssignment& target : targets) {
     targets_[target.view.id] = target;
     leases_.SetAllocator(target.view.id, target.allocator);
     if (!target.view.leaving)
@@ -90,7 +91,7 @@
   }
   leases_.Retain(usable);
   std::vector<PlacementTarget> placed;
-  for (const TargetDuty& target : targets)
+  for (const TargetAssignment& target : targets)
     placed.push_back({target.view.id, target.view.pool, target.view.hall,
                       target.view.slots, target.view.leaving});
   placement_.SetTargets(std::move(placed));
@@ -239,7 +240,7 @@
   return std::max(even_part - own, own < slots ? reported_free : 0);
 }
 
-auto IngressScheduler::MayUse(Flow flow, const TargetDuty& target) const
+auto IngressScheduler::MayUse(Flow flow, const TargetAssignment& target) const
     -> bool {
   const TargetId id = target.view.id;
   if (policy_ == Policy::kIndependent || policy_ == Policy::kLeases ||
--- a/sparbend/core/entry.h
+++ b/sparbend/core/entry.h
@@ -59,11 +59,11 @@
 
   void SetCatalog(std::shared_ptr<const Catalog> catalog);
   // All targets and, for each, the box that allocates it, if any lives.
-  struct TargetDuty {
+  struct TargetAssignment {
     TargetView view;
     std::optional<BoxId> allocator;
   };
-  void SetTargets(const std::vector<TargetDuty>& targets);
+  void SetTargets(const std::vector<TargetAssignment>& targets);
   // How many boxes serve callers; used by kIndependent and kShared.
   void SetBoxCount(int boxes) {
     boxes_ = boxes;
@@ -159,7 +159,7 @@
   auto Rank(const QueuedRequest& request, TargetId id) const
       -> std::optional<std::pair<bool, int>>;
   auto FreeAt(TargetId target) const -> int;
-  auto MayUse(Flow flow, const TargetDuty& target) const -> bool;
+  auto MayUse(Flow flow, const TargetAssignment& target) const -> bool;
   auto ChooseTarget(const QueuedRequest& request) const
       -> std::optional<TargetId>;
   auto FlowsByService(Millis now) const -> std::vector<Flow>;
@@ -195,7 +195,7 @@
   DemandTeller demand_;
   Estimator estimator_;
   std::shared_ptr<const Catalog> catalog_;
-  std::map<TargetId, TargetDuty> targets_;
+  std::map<TargetId, TargetAssignment> targets_;
   mutable std::map<Flow, Ways> ways_;
   std::map<TargetId, int> loads_;
   std::map<std::pair<BoxId, PoolId>, int64_t> floors_;
--- a/sparbend/core/lapsed_targets_test.cc
+++ b/sparbend/core/lapsed_targets_test.cc
@@ -65,7 +65,7 @@
 
   auto ReaderOf(const std::string& hall) -> int {
     for (const int box : BoxesOf(hall)) {
-      if (nodes_.at(box).HasReadDuty(nodes_.now()))
+      if (nodes_.at(box).IsStoreReader(nodes_.now()))
         return box;
     }
     return -1;
@@ -101,7 +101,7 @@
     if (!nodes_.at(number).store_contact().RecordsMayLapse(box.told))
       box.book.EndLapsed();
     const bool due = box.lost ? now >= box.retry_at
-                              : nodes_.at(number).HasReadDuty(now) &&
+                              : nodes_.at(number).IsStoreReader(now) &&
                                     now - box.tried >= kRefresh;
     if (due)
       Read(number);
--- a/sparbend/core/members.cc
+++ b/sparbend/core/members.cc
@@ -172,7 +172,7 @@
   return boxes;
 }
 
-auto Members::HasDuty(const std::string& duty,
+auto Members::HasRole(const std::string& duty,
                       size_t count,
                       Millis now,
                       const IsAble& able) const -> bool {
--- a/sparbend/core/members.h
+++ b/sparbend/core/members.h
@@ -76,7 +76,7 @@
 inline constexpr Millis kSilence = Millis(2'000);
 
 // The duty of the box that reads the platform's store for its hall.
-inline constexpr const char* kReadDuty = "store";
+inline constexpr const char* kStoreReaderRole = "store";
 
 class Members {
  public:
@@ -121,7 +121,7 @@
   // `duty`, ranked as Aggregators does; false when it is not listed. Others
   // that are not `able` are passed over; none given: all are.
   using IsAble = std::function<bool(BoxId)>;
-  auto HasDuty(const std::string& duty,
+  auto HasRole(const std::string& duty,
                size_t count,
                Millis now,
                const IsAble& able = nullptr) const -> bool;
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -161,12 +161,13 @@
 }
 
 // A box that was not heard yet counts as able: it may just have started.
-auto Node::HasReadDuty(Millis now) const -> bool {
-  return reads_store_ && members_.HasDuty(kReadDuty, 1, now, [this](BoxId box) {
-    const auto peer = peers_.find(box);
-    return peer == peers_.end() || peer->second.incarnation == 0 ||
-           peer->second.directory_read_at.has_value();
-  });
+auto Node::IsStoreReader(Millis now) const -> bool {
+  return reads_store_ &&
+         members_.HasRole(kStoreReaderRole, 1, now, [this](BoxId box) {
+           const auto peer = peers_.find(box);
+           return peer == peers_.end() || peer->second.incarnation == 0 ||
+                  peer->second.directory_read_at.has_value();
+         });
 }
 
 void Node::SetEvacuatedHalls(std::set<std::string> halls, Millis now) {
@@ -231,7 +232,7 @@
   if (options_.policy == Policy::kShared && !targets_changed_)
     return;
   targets_changed_ = false;
-  std::vector<IngressScheduler::TargetDuty> all;
+  std::vector<IngressScheduler::TargetAssignment> all;
   std::vector<TargetView> duties;
   for (const auto& [id, target] : targets_) {
     const bool closed =
@@ -250,7 +251,7 @@
   }
   entry_.SetTargets(all);
   allocators_.SetLiveBoxes({live_.begin(), live_.end()});
-  allocators_.SetDuties(duties, now);
+  allocators_.SetAssignedTargets(duties, now);
 }
 
 auto Node::ListOutOfDate(Millis now) const -> bool {
--- a/sparbend/core/node.h
+++ b/sparbend/core/node.h
@@ -74,7 +74,7 @@
   void OnStoreAnswered(Millis now);
   void OnStoreFailed(Millis sent);
   // Whether this box reads the store for its hall.
-  auto HasReadDuty(Millis now) const -> bool;
+  auto IsStoreReader(Millis now) const -> bool;
   auto store_contact() const -> const StoreContact& { return store_contact_; }
   // Whether the list is so old that a target in it may have left and ended by
   // now, though the store could be read meanwhile: then nothing may be sent. A
@@ -120,7 +120,7 @@
   }
   // How much longer news may be on its way than from box to box.
   auto report_lag() const -> Millis { return exchange_.Lag(); }
-  auto allocators() const -> const Allocators& { return allocators_; }
+  auto allocators() const -> const SlotAllocator& { return allocators_; }
   // The list of targets that a live peer read last.
   struct PeerDirectory {
     BoxId box = 0;
@@ -177,7 +177,7 @@
   Members members_;
   ServiceCounters ledger_;
   IngressScheduler entry_;
-  Allocators allocators_;
+  SlotAllocator allocators_;
   LoadReportExchange exchange_;  // under kShared
   Quarantine quarantine_;
   Millis suspicion_told_{-1'000'000};
--- a/sparbend/core/store_readers_test.cc
+++ b/sparbend/core/store_readers_test.cc
@@ -24,7 +24,7 @@
     -> std::map<std::string, std::string> {
   std::map<std::string, std::string> readers;
   for (int box = 0; box < nodes->size(); ++box) {
-    if (nodes->alive(box) && nodes->at(box).HasReadDuty(nodes->now()))
+    if (nodes->alive(box) && nodes->at(box).IsStoreReader(nodes->now()))
       readers[nodes->hall(box)] += std::to_string(box) + " ";
   }
   return readers;
--- a/sparbend/services/config.cc
+++ b/sparbend/services/config.cc
@@ -225,7 +225,7 @@
 }
 
 auto ConfigService::IsTailer() const -> bool {
-  return scheduler_->node().members().HasDuty(kTailDuty, kTailersPerHall,
+  return scheduler_->node().members().HasRole(kTailDuty, kTailersPerHall,
                                               kernel_->Now());
 }
 
--- a/sparbend/services/declarations.cc
+++ b/sparbend/services/declarations.cc
@@ -178,7 +178,7 @@
   Millis looked;
   while (true) {
     const Millis now = kernel_->Now();
-    const bool waits = scheduler_->node().HasReadDuty(now);
+    const bool waits = scheduler_->node().IsStoreReader(now);
     // Who hears of something newer reads it itself: one box handing it to all
     // others would be too much for that box when there are many.
     const bool behind = scheduler_->node().HighestOffset().first > offset_ &&
--- a/sparbend/services/directory.cc
+++ b/sparbend/services/directory.cc
@@ -121,7 +121,7 @@
 Directory::Directory(Kernel* kernel, const Settings& settings)
     : kernel_(kernel),
       settings_(settings),
-      looks_(StableHash(settings.name + kReadDuty)) {}
+      looks_(StableHash(settings.name + kStoreReaderRole)) {}
 
 void Directory::Start() {
   feed_ = kernel_->Find<DirectoryFeed>("directory-feed");
@@ -344,7 +344,7 @@
   while (true) {
     EndLapsed();
     const Millis now = kernel_->Now();
-    const bool duty = scheduler_->node().HasReadDuty(now);
+    const bool duty = scheduler_->node().IsStoreReader(now);
     PeerLook look = PeerLook::kNothing;
     if (!duty)
       look = co_await FollowPeer();
@@ -433,7 +433,7 @@
   Millis read_at;
   while (true) {
     const Millis now = kernel_->Now();
-    const bool duty = scheduler_->node().HasReadDuty(now);
+    const bool duty = scheduler_->node().IsStoreReader(now);
     const bool spared = fresh() || now - read_at < kBoxesRarely;
     if (reads >= kBoxesFirstReads && !duty && spared) {
       co_await Sleep(kBoxesRefresh);
