--- a/sparbend/core/entry.h
+++ b/sparbend/core/entry.h
@@ -128,7 +128,7 @@
   auto KeepsSlots() const -> bool;
 
   auto queues() const -> const FlowQueues& { return queues_; }
-  auto leases() const -> const LeaseBook& { return leases_; }
+  auto leases() const -> const LeaseTable& { return leases_; }
   auto in_flight() const -> size_t { return running_.size(); }
   auto policy() const -> Policy { return policy_; }
   auto placement() -> Placement& { return placement_; }
@@ -191,7 +191,7 @@
   Policy policy_;
   int boxes_ = 1;
   FlowQueues queues_;
-  LeaseBook leases_;
+  LeaseTable leases_;
   DemandTeller demand_;
   Estimator estimator_;
   std::shared_ptr<const Catalog> catalog_;
--- a/sparbend/core/hall_sums.cc
+++ b/sparbend/core/hall_sums.cc
@@ -11,7 +11,7 @@
 namespace sparbend {
 namespace {
 
-// As old as loads may be that count (LoadBook).
+// As old as loads may be that count (LoadTable).
 constexpr Millis kTrusted = Millis(2'000);
 // A sum that counts fewer boxes than another one is believed after so long
 // without the other: two intervals of sums.
--- a/sparbend/core/hall_sums.h
+++ b/sparbend/core/hall_sums.h
@@ -40,7 +40,7 @@
  private:
   // Loads, service and refusals by source: a box of the hall, or a hall.
   struct Books {
-    LoadBook loads;
+    LoadTable loads;
     FairUsage served;
     FairUsage denied;
 
--- a/sparbend/core/lapsed_targets_test.cc
+++ b/sparbend/core/lapsed_targets_test.cc
@@ -86,7 +86,7 @@
 
  private:
   struct Box {
-    TargetBook book;
+    TargetTable book;
     size_t next = 0;  // record to read on from
     size_t end = 0;   // the list is as of this record
     bool lost = false;
--- a/sparbend/core/load_book.cc
+++ b/sparbend/core/load_book.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-void LoadBook::Start(RequestId id, const TargetLoad& load, Millis now) {
+void LoadTable::Start(RequestId id, const TargetLoad& load, Millis now) {
   Sent sent{load, now, false};
   sent.load.running = 1;
   sent_[id] = sent;
@@ -36,7 +36,7 @@
   Add(sent.load, &own);
 }
 
-auto LoadBook::FirstByte(RequestId id, Millis now) -> std::optional<Millis> {
+auto LoadTable::FirstByte(RequestId id, Millis now) -> std::optional<Millis> {
   const auto found = sent_.find(id);
   if (found == sent_.end() || found->second.began)
     return std::nullopt;
@@ -47,7 +47,7 @@
   return now - found->second.since;
 }
 
-void LoadBook::Finish(RequestId id) {
+void LoadTable::Finish(RequestId id) {
   const auto found = sent_.find(id);
   if (found == sent_.end())
     return;
@@ -61,7 +61,7 @@
   sent_.erase(found);
 }
 
-void LoadBook::Forget(const Word& word) {
+void LoadTable::Forget(const Word& word) {
   for (const TargetLoad& row : word.rows) {
     TargetLoad& told = told_[row.target];
     told.running -= row.running;
@@ -73,7 +73,7 @@
   }
 }
 
-void LoadBook::Expire(Millis now) {
+void LoadTable::Expire(Millis now) {
   if (now - expired_at_ < kExpireInterval)
     return;
   expired_at_ = now;
@@ -85,12 +85,12 @@
   });
 }
 
-void LoadBook::ClearPeerReports() {
+void LoadTable::ClearPeerReports() {
   words_.clear();
   told_.clear();
 }
 
-auto LoadBook::ToldRows() const -> std::vector<TargetLoad> {
+auto LoadTable::ToldRows() const -> std::vector<TargetLoad> {
   std::vector<TargetLoad> rows;
   rows.reserve(told_.size());
   for (const auto& [target, load] : told_) {
@@ -100,9 +100,9 @@
   return rows;
 }
 
-void LoadBook::UpdateFromPeer(BoxId from,
-                              const std::vector<TargetLoad>& rows,
-                              Millis now) {
+void LoadTable::UpdateFromPeer(BoxId from,
+                               const std::vector<TargetLoad>& rows,
+                               Millis now) {
   Word& word = words_[from];
   Forget(word);
   word = Word{rows, now};
@@ -110,12 +110,12 @@
     Add(row, &told_[row.target]);
 }
 
-auto LoadBook::Own(TargetId target) const -> TargetLoad {
+auto LoadTable::Own(TargetId target) const -> TargetLoad {
   const auto found = own_.find(target);
   return found == own_.end() ? TargetLoad{target, 0, 0, 0} : found->second;
 }
 
-auto LoadBook::Total(TargetId target) const -> TargetLoad {
+auto LoadTable::Total(TargetId target) const -> TargetLoad {
   TargetLoad total = Own(target);
   const auto told = told_.find(target);
   if (told != told_.end())
@@ -123,7 +123,7 @@
   return total;
 }
 
-auto LoadBook::OwnRows() const -> std::vector<TargetLoad> {
+auto LoadTable::OwnRows() const -> std::vector<TargetLoad> {
   std::vector<TargetLoad> rows;
   rows.reserve(own_.size());
   for (const auto& [target, load] : own_)
--- a/sparbend/core/load_book.h
+++ b/sparbend/core/load_book.h
@@ -18,7 +18,7 @@
 
 namespace sparbend {
 
-class LoadBook {
+class LoadTable {
  public:
   using RequestId = uint64_t;
 
--- a/sparbend/core/load_book_test.cc
+++ b/sparbend/core/load_book_test.cc
@@ -12,11 +12,11 @@
   return {target, 1, waiting, 10};
 }
 
-TEST_GROUP(LoadBook) {
-  LoadBook book;
+TEST_GROUP(LoadTable) {
+  LoadTable book;
 };
 
-TEST(LoadBook, CountsARequestFromItsSendingToItsEnd) {
+TEST(LoadTable, CountsARequestFromItsSendingToItsEnd) {
   book.Start(1, Load(kFirst, 500), Millis(10));
   book.Start(2, Load(kFirst, 700), Millis(20));
   LONGS_EQUAL(1'200, book.Own(kFirst).waiting_tokens);
@@ -30,7 +30,7 @@
   CHECK(book.OwnRows().empty());
 }
 
-TEST(LoadBook, PeersWordsReplaceEachOtherAndAge) {
+TEST(LoadTable, PeersWordsReplaceEachOtherAndAge) {
   book.UpdateFromPeer(7, {Load(kFirst, 100), Load(kSecond, 50)}, Millis(1'000));
   book.UpdateFromPeer(8, {Load(kFirst, 10)}, Millis(1'000));
   LONGS_EQUAL(110, book.Total(kFirst).waiting_tokens);
@@ -43,9 +43,9 @@
   LONGS_EQUAL(60, book.Total(kSecond).waiting_tokens);
 }
 
-TEST(LoadBook, OwnLoadIsTheSumOfWhatRuns) {
+TEST(LoadTable, OwnLoadIsTheSumOfWhatRuns) {
   testing::CheckHolds("sum of what runs", [] {
-    LoadBook book;
+    LoadTable book;
     std::map<uint64_t, std::pair<TargetLoad, bool>> running;
     const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 8), rc::gen::inRange(0, 3)));
--- a/sparbend/core/node_words_test.cc
+++ b/sparbend/core/node_words_test.cc
@@ -40,8 +40,8 @@
     CHECK(outgoing.bytes.size() <= kMaxDatagramBytes);
     CHECK(!nodes.at(1).OnDatagram(outgoing.bytes, nodes.now()));
   }
-  const LoadBook& known = nodes.at(1).ingress_scheduler().placement().loads();
-  const LoadBook& sent = sender.ingress_scheduler().placement().loads();
+  const LoadTable& known = nodes.at(1).ingress_scheduler().placement().loads();
+  const LoadTable& sent = sender.ingress_scheduler().placement().loads();
   for (int i = 0; i < kTargets; ++i) {
     const TargetId target = TargetIdOf("target-" + std::to_string(i));
     LONGS_EQUAL(sent.Own(target).running, known.Total(target).running);
--- a/sparbend/core/placement.h
+++ b/sparbend/core/placement.h
@@ -117,7 +117,7 @@
   void Expire(Millis now) { loads_.Expire(now); }
   // Drops the loads that boxes told.
   void ClearPeerReports() { loads_.ClearPeerReports(); }
-  auto loads() const -> const LoadBook& { return loads_; }
+  auto loads() const -> const LoadTable& { return loads_; }
   auto homes() const -> const PrefixHomes& { return homes_; }
   void UpdateFromPeer(BoxId from,
                       const std::vector<TargetLoad>& loads,
@@ -199,7 +199,7 @@
   int boxes_ = 1;
   mutable Candidates candidates_;  // refreshed when a choice is made
   std::map<PoolId, PoolLimits> pools_;
-  LoadBook loads_;
+  LoadTable loads_;
   PrefixHomes homes_;
   TargetHealth health_;
   TargetSilence silence_;
--- a/sparbend/core/target_births_test.cc
+++ b/sparbend/core/target_births_test.cc
@@ -49,7 +49,7 @@
   const char* known;  // "born/beat", with "-" for leaving; empty: nothing
 };
 
-auto Tell(const TargetBook& book) -> std::string {
+auto Tell(const TargetTable& book) -> std::string {
   std::string text;
   for (const auto& [name, known] : book.known())
     text += std::to_string(known.entry.born) + "/" +
@@ -57,7 +57,7 @@
   return text;
 }
 
-void Play(const Step& step, TargetBook* book) {
+void Play(const Step& step, TargetTable* book) {
   switch (step.kind) {
     case Step::Kind::kPut:
       book->Put(step.entry, step.offset, Millis(0));
@@ -99,7 +99,7 @@
        "200/1"},
   };
   for (const Row& row : rows) {
-    TargetBook book;
+    TargetTable book;
     for (const Step& step : row.steps)
       Play(step, &book);
     STRCMP_EQUAL_TEXT(row.known, Tell(book).c_str(), row.what);
@@ -120,7 +120,7 @@
        ""},
   };
   for (const Row& row : rows) {
-    TargetBook book;
+    TargetTable book;
     for (const Step& step : row.steps)
       Play(step, &book);
     STRCMP_EQUAL_TEXT(row.known, Tell(book).c_str(), row.what);
@@ -129,7 +129,7 @@
 
 // A store that is away excuses a lapse, not a record that names no target.
 TEST(TargetBirths, ARecordOfNoTargetEndsItWhileTheStoreSettlesToo) {
-  TargetBook book;
+  TargetTable book;
   book.Put(Entry(100, 5), 1, Millis(0));
   CHECK(!book.Drop("a", 2, Removal::kDoubtful));
   CHECK(book.Refute("a", 3));
@@ -161,7 +161,7 @@
     const TargetEntry last = records.back().second;
     const auto order = *rc::gen::container<std::vector<size_t>>(
         20, rc::gen::inRange<size_t>(0, records.size()));
-    TargetBook book;
+    TargetTable book;
     for (const size_t i : order)
       book.Put(records[i].second, records[i].first, Millis(0));
     int64_t end = 0;
--- a/sparbend/core/target_book.cc
+++ b/sparbend/core/target_book.cc
@@ -24,7 +24,8 @@
 
 }  // namespace
 
-auto TargetBook::IsOld(const TargetEntry& entry, int64_t offset) const -> bool {
+auto TargetTable::IsOld(const TargetEntry& entry, int64_t offset) const
+    -> bool {
   const auto sign = std::tie(entry.born, entry.beat);
   const auto dropped = dropped_.find(entry.name);
   if (dropped != dropped_.end()) {
@@ -44,7 +45,7 @@
   return offset < known.offset || entry.beat < known.entry.beat;
 }
 
-auto TargetBook::Put(const TargetEntry& entry, int64_t offset, Millis now)
+auto TargetTable::Put(const TargetEntry& entry, int64_t offset, Millis now)
     -> bool {
   if (IsOld(entry, offset))
     return false;
@@ -58,7 +59,7 @@
   return changed;
 }
 
-auto TargetBook::Refute(const std::string& name, int64_t offset) -> bool {
+auto TargetTable::Refute(const std::string& name, int64_t offset) -> bool {
   const auto found = known_.find(name);
   if (found == known_.end() || offset < found->second.offset)
     return false;
@@ -67,8 +68,8 @@
   return true;
 }
 
-auto TargetBook::Lapse(std::map<std::string, Known>::iterator known,
-                       Removal removal) -> bool {
+auto TargetTable::Lapse(std::map<std::string, Known>::iterator known,
+                        Removal removal) -> bool {
   if (removal == Removal::kDoubtful) {
     known->second.lapsed = true;
     return false;
@@ -77,7 +78,7 @@
   return true;
 }
 
-auto TargetBook::Drop(const std::string& name, int64_t offset, Removal removal)
+auto TargetTable::Drop(const std::string& name, int64_t offset, Removal removal)
     -> bool {
   if (dropped_.size() >= kMostDropped)
     dropped_.clear();
@@ -92,7 +93,7 @@
 }
 
 // A box that was cut off may tell of it later still, as it knew it.
-void TargetBook::RememberGone(const Known& known, int64_t end) {
+void TargetTable::RememberGone(const Known& known, int64_t end) {
   if (dropped_.size() >= kMostDropped)
     dropped_.clear();
   Dropped& dropped = dropped_[known.entry.name];
@@ -100,9 +101,9 @@
              known.entry.beat};
 }
 
-auto TargetBook::Retain(const std::set<std::string>& names,
-                        int64_t end,
-                        Removal removal) -> bool {
+auto TargetTable::Retain(const std::set<std::string>& names,
+                         int64_t end,
+                         Removal removal) -> bool {
   bool changed = false;
   for (auto next = known_.begin(); next != known_.end();) {
     const auto current = next++;
@@ -114,7 +115,7 @@
   return changed;
 }
 
-auto TargetBook::RetainTold(const std::set<std::string>& names, int64_t end)
+auto TargetTable::RetainTold(const std::set<std::string>& names, int64_t end)
     -> bool {
   return std::erase_if(known_, [&](const auto& known) {
            const bool gone =
@@ -125,13 +126,13 @@
          }) > 0;
 }
 
-void TargetBook::SetLapsed(const std::string& name, int64_t offset) {
+void TargetTable::SetLapsed(const std::string& name, int64_t offset) {
   const auto found = known_.find(name);
   if (found != known_.end() && found->second.offset == offset)
     found->second.lapsed = true;
 }
 
-auto TargetBook::EndLapsed() -> bool {
+auto TargetTable::EndLapsed() -> bool {
   return std::erase_if(known_, [this](const auto& known) {
            if (known.second.lapsed)
              RememberGone(known.second, known.second.offset + 1);
@@ -139,7 +140,7 @@
          }) > 0;
 }
 
-auto TargetBook::entries(Millis now) const -> std::vector<TargetEntry> {
+auto TargetTable::entries(Millis now) const -> std::vector<TargetEntry> {
   std::vector<TargetEntry> entries;
   entries.reserve(known_.size());
   for (const auto& [name, known] : known_) {
--- a/sparbend/core/target_book.h
+++ b/sparbend/core/target_book.h
@@ -23,7 +23,7 @@
   kDoubtful,  // the store may have lost the record; see StoreContact
 };
 
-class TargetBook {
+class TargetTable {
  public:
   // A target's record; true if anything but its age changed.
   auto Put(const TargetEntry& entry, int64_t offset, Millis now) -> bool;
--- a/sparbend/core/target_book_test.cc
+++ b/sparbend/core/target_book_test.cc
@@ -13,18 +13,18 @@
   return entry;
 }
 
-auto Names(const TargetBook& book) -> std::string {
+auto Names(const TargetTable& book) -> std::string {
   std::string names;
   for (const TargetEntry& entry : book.entries(Millis(0)))
     names += entry.name + (entry.leaving ? "-" : "") + " ";
   return names;
 }
 
-TEST_GROUP(TargetBook) {
-  TargetBook book;
+TEST_GROUP(TargetTable) {
+  TargetTable book;
 };
 
-TEST(TargetBook, TheNewerOffsetWinsInWhateverOrderRecordsAreRead) {
+TEST(TargetTable, TheNewerOffsetWinsInWhateverOrderRecordsAreRead) {
   CHECK(book.Put(Entry("a"), 1, Millis(0)));
   CHECK(!book.Put(Entry("a"), 2, Millis(0)));  // a sign of life changes nothing
   CHECK(book.Put(Entry("a", true), 3, Millis(0)));
@@ -38,7 +38,7 @@
   STRCMP_EQUAL("a ", Names(book).c_str());
 }
 
-TEST(TargetBook, ADelayedSignOfLifeUndoesNothing) {
+TEST(TargetTable, ADelayedSignOfLifeUndoesNothing) {
   const auto entry = [](bool leaving, int64_t beat) {
     TargetEntry made = Entry("a", leaving);
     made.beat = beat;
@@ -55,7 +55,7 @@
   STRCMP_EQUAL("a ", Names(book).c_str());
 }
 
-TEST(TargetBook, WhatAPeerSaidIsGoneIsNotBroughtBackByAnotherThatIsBehind) {
+TEST(TargetTable, WhatAPeerSaidIsGoneIsNotBroughtBackByAnotherThatIsBehind) {
   book.Put(Entry("a"), 3, Millis(0));
   CHECK(book.RetainTold({}, 9));
   CHECK(!book.Put(Entry("a"), 3, Millis(0)));  // told by a box that was cut off
@@ -64,14 +64,14 @@
   STRCMP_EQUAL("a ", Names(book).c_str());
 }
 
-TEST(TargetBook, AListEndsWhatItDoesNotNameUnlessThatIsNewer) {
+TEST(TargetTable, AListEndsWhatItDoesNotNameUnlessThatIsNewer) {
   book.Put(Entry("old"), 1, Millis(0));
   book.Put(Entry("new"), 9, Millis(0));
   CHECK(book.Retain({}, 5, Removal::kFinal));
   STRCMP_EQUAL("new ", Names(book).c_str());
 }
 
-TEST(TargetBook, TargetsThatMayHaveLapsedAreKeptUntilTheyAreEnded) {
+TEST(TargetTable, TargetsThatMayHaveLapsedAreKeptUntilTheyAreEnded) {
   book.Put(Entry("back"), 1, Millis(0));
   book.Put(Entry("gone"), 2, Millis(0));
   book.Put(Entry("unlisted"), 3, Millis(0));
@@ -88,14 +88,14 @@
   STRCMP_EQUAL("back ", Names(book).c_str());
 }
 
-TEST(TargetBook, AFinalDropEndsWhatWasKept) {
+TEST(TargetTable, AFinalDropEndsWhatWasKept) {
   book.Put(Entry("a"), 1, Millis(0));
   CHECK(!book.Drop("a", 2, Removal::kDoubtful));
   CHECK(book.Drop("a", 3, Removal::kFinal));
   STRCMP_EQUAL("", Names(book).c_str());
 }
 
-TEST(TargetBook, AnotherBoxHasJudgedLapsesItself) {
+TEST(TargetTable, AnotherBoxHasJudgedLapsesItself) {
   book.Put(Entry("a"), 1, Millis(0));
   book.Put(Entry("b"), 2, Millis(0));
   book.Put(Entry("c"), 3, Millis(0));
@@ -109,11 +109,11 @@
 
 // Whatever order whole lists and single records are read in, the book ends
 // where the log does.
-TEST(TargetBook, EndsWhereTheLogDoes) {
+TEST(TargetTable, EndsWhereTheLogDoes) {
   testing::CheckHolds("end of the log", [] {
     const auto steps = *rc::gen::container<std::vector<std::pair<int, bool>>>(
         rc::gen::pair(rc::gen::inRange(0, 4), rc::gen::arbitrary<bool>()));
-    TargetBook book;
+    TargetTable book;
     std::set<std::string> truth;
     int64_t offset = 0;
     for (const auto& [target, there] : steps) {
--- a/sparbend/services/directory.cc
+++ b/sparbend/services/directory.cc
@@ -51,7 +51,7 @@
 constexpr size_t kMaxBoxBytes = 64 * 1024;
 constexpr const char* kMethod = "directory";
 
-auto ToJson(const TargetBook::Known& known, Millis now) -> Json {
+auto ToJson(const TargetTable::Known& known, Millis now) -> Json {
   const TargetEntry& entry = known.entry;
   // Never nothing while its own word says that it is cold: digests tell that.
   const bool cold = entry.cold_left > Millis(0);
--- a/sparbend/services/directory.h
+++ b/sparbend/services/directory.h
@@ -77,7 +77,7 @@
   std::shared_ptr<Metrics> metrics_;
   Dependency store_{"store-directory"};
   LookClock looks_;  // where no other box's list is fresh
-  TargetBook book_;
+  TargetTable book_;
   std::map<std::string, BoxEntry> boxes_;
   std::string written_;  // own record as the store has it
   // Of that record, with the time of day that it was made at.
