--- a/sparbend/core/hall_sums.cc
+++ b/sparbend/core/hall_sums.cc
@@ -66,10 +66,10 @@
   denied.UpdateFromPeer(source, datagram.denials, now);
 }
 
-void HallAggregates::NoteHomes(const std::vector<PrefixHome>& homes,
+void HallAggregates::NoteHomes(const std::vector<PrefixLocation>& homes,
                                bool near,
                                Millis now) {
-  for (const PrefixHome& home : homes) {
+  for (const PrefixLocation& home : homes) {
     if (homes_known_.insert(home).second)
       homes_.push_back({home, now, near});
   }
@@ -118,8 +118,9 @@
   return members;
 }
 
-auto HallAggregates::Homes(bool near_only) const -> std::vector<PrefixHome> {
-  std::vector<PrefixHome> homes;
+auto HallAggregates::Homes(bool near_only) const
+    -> std::vector<PrefixLocation> {
+  std::vector<PrefixLocation> homes;
   for (auto home = homes_.rbegin();
        home != homes_.rend() && homes.size() < kMostHomes; ++home) {
     if (home->near || !near_only)
--- a/sparbend/core/hall_sums.h
+++ b/sparbend/core/hall_sums.h
@@ -56,22 +56,24 @@
     Millis at;
   };
   struct RecentHome {
-    PrefixHome home;
+    PrefixLocation home;
     Millis at;
     bool near = false;  // told by a box of this hall
   };
 
   void Expire(Millis now);
-  void NoteHomes(const std::vector<PrefixHome>& homes, bool near, Millis now);
-  auto Homes(bool near_only) const -> std::vector<PrefixHome>;
+  void NoteHomes(const std::vector<PrefixLocation>& homes,
+                 bool near,
+                 Millis now);
+  auto Homes(bool near_only) const -> std::vector<PrefixLocation>;
   auto Members() const -> std::vector<MemberNews>;
 
   Books near_;
   Books far_;
   std::map<BoxId, Included> boxes_;
   std::map<std::string, FarSum> halls_;
-  std::deque<RecentHome> homes_;      // the newest last
-  std::set<PrefixHome> homes_known_;  // those of homes_
+  std::deque<RecentHome> homes_;          // the newest last
+  std::set<PrefixLocation> homes_known_;  // those of homes_
 };
 
 }  // namespace sparbend
--- a/sparbend/core/messages.cc
+++ b/sparbend/core/messages.cc
@@ -99,9 +99,9 @@
   return flat;
 }
 
-auto EncodeHomes(const std::vector<PrefixHome>& homes) -> Json {
+auto EncodeHomes(const std::vector<PrefixLocation>& homes) -> Json {
   Json flat = Json::array();
-  for (const PrefixHome& home : homes)
+  for (const PrefixLocation& home : homes)
     flat.insert(flat.end(), {home.prefix, home.target});
   return flat;
 }
@@ -231,7 +231,7 @@
   return load;
 }
 
-auto TakeHome(NumberReader& in) -> PrefixHome {
+auto TakeHome(NumberReader& in) -> PrefixLocation {
   const auto prefix = in.Take<PrefixId>();
   return {prefix, in.Take()};
 }
--- a/sparbend/core/messages.h
+++ b/sparbend/core/messages.h
@@ -129,7 +129,7 @@
   std::vector<TargetId> leaving_targets;
   // All the sender, or the boxes of the sum, have running.
   std::vector<TargetLoad> loads;
-  std::vector<PrefixHome> homes;  // made lately
+  std::vector<PrefixLocation> homes;  // made lately
   // What was refused to flows lately for want of room.
   std::vector<FlowValue> denials;
   std::vector<Suspicion> suspicions;
--- a/sparbend/core/placement.cc
+++ b/sparbend/core/placement.cc
@@ -201,7 +201,8 @@
   Held held;
   int64_t before = 0;  // tokens of the prefixes gone through
   for (const PromptPrefix& prefix : work.prefixes) {
-    for (const PrefixHomes::Holder& holder : homes_.HoldersOf(prefix.id, now)) {
+    for (const PrefixLocations::Holder& holder :
+         homes_.HoldersOf(prefix.id, now)) {
       const auto found =
           std::ranges::find(held, holder.target, &HeldPrefix::target);
       if (found != held.end() && found->tokens == before) {
@@ -477,11 +478,11 @@
 
 void Placement::UpdateFromPeer(BoxId from,
                                const std::vector<TargetLoad>& loads,
-                               const std::vector<PrefixHome>& homes,
+                               const std::vector<PrefixLocation>& homes,
                                Millis now) {
   loads_.UpdateFromPeer(from, loads, now);
   NoteServices(now);
-  for (const PrefixHome& home : homes)
+  for (const PrefixLocation& home : homes)
     homes_.UpdateFromPeer(home, now);
 }
 
--- a/sparbend/core/placement.h
+++ b/sparbend/core/placement.h
@@ -118,10 +118,10 @@
   // Drops the loads that boxes told.
   void ClearPeerReports() { loads_.ClearPeerReports(); }
   auto loads() const -> const LoadTable& { return loads_; }
-  auto homes() const -> const PrefixHomes& { return homes_; }
+  auto homes() const -> const PrefixLocations& { return homes_; }
   void UpdateFromPeer(BoxId from,
                       const std::vector<TargetLoad>& loads,
-                      const std::vector<PrefixHome>& homes,
+                      const std::vector<PrefixLocation>& homes,
                       Millis now);
 
  private:
@@ -200,7 +200,7 @@
   mutable Candidates candidates_;  // refreshed when a choice is made
   std::map<PoolId, PoolLimits> pools_;
   LoadTable loads_;
-  PrefixHomes homes_;
+  PrefixLocations homes_;
   TargetHealth health_;
   TargetSilence silence_;
   ColdTargets cold_;
--- a/sparbend/core/prefix_homes.cc
+++ b/sparbend/core/prefix_homes.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void PrefixHomes::Touch(PrefixId prefix, TargetId target, Millis now) {
+void PrefixLocations::Touch(PrefixId prefix, TargetId target, Millis now) {
   const auto [found, added] = holders_.try_emplace(prefix);
   if (added) {
     by_use_.push_front(prefix);
@@ -38,28 +38,29 @@
   }
 }
 
-auto PrefixHomes::Note(PrefixId prefix, TargetId target, Millis now) -> bool {
+auto PrefixLocations::Note(PrefixId prefix, TargetId target, Millis now)
+    -> bool {
   const bool known = Holds(prefix, target, now);
   Touch(prefix, target, now);
   if (known)
     return false;
-  recent_.emplace_back(now, PrefixHome{prefix, target});
+  recent_.emplace_back(now, PrefixLocation{prefix, target});
   if (recent_.size() > kMostRecent)
     recent_.pop_front();
   return true;
 }
 
-void PrefixHomes::UpdateFromPeer(const PrefixHome& home, Millis now) {
+void PrefixLocations::UpdateFromPeer(const PrefixLocation& home, Millis now) {
   Touch(home.prefix, home.target, now);
 }
 
-auto PrefixHomes::Holds(PrefixId prefix, TargetId target, Millis now) const
+auto PrefixLocations::Holds(PrefixId prefix, TargetId target, Millis now) const
     -> bool {
   const std::vector<Holder> holders = HoldersOf(prefix, now);
   return std::ranges::find(holders, target, &Holder::target) != holders.end();
 }
 
-auto PrefixHomes::HoldersOf(PrefixId prefix, Millis now) const
+auto PrefixLocations::HoldersOf(PrefixId prefix, Millis now) const
     -> std::vector<Holder> {
   std::vector<Holder> holders;
   const auto found = holders_.find(prefix);
@@ -71,8 +72,8 @@
   return holders;
 }
 
-auto PrefixHomes::Recent(Millis now) const -> std::vector<PrefixHome> {
-  std::vector<PrefixHome> homes;
+auto PrefixLocations::Recent(Millis now) const -> std::vector<PrefixLocation> {
+  std::vector<PrefixLocation> homes;
   for (const auto& [made, home] : recent_) {
     if (now - made < kTold)
       homes.push_back(home);
--- a/sparbend/core/prefix_homes.h
+++ b/sparbend/core/prefix_homes.h
@@ -16,12 +16,12 @@
 
 namespace sparbend {
 
-class PrefixHomes {
+class PrefixLocations {
  public:
   // `target` was sent `prefix`; true if it was not known to hold it.
   auto Note(PrefixId prefix, TargetId target, Millis now) -> bool;
   // A peer's word; not passed on.
-  void UpdateFromPeer(const PrefixHome& home, Millis now);
+  void UpdateFromPeer(const PrefixLocation& home, Millis now);
   auto Holds(PrefixId prefix, TargetId target, Millis now) const -> bool;
   struct Holder {
     TargetId target = 0;
@@ -34,7 +34,7 @@
   auto HoldersOf(PrefixId prefix, Millis now) const -> std::vector<Holder>;
   // Homes that this box made lately, to be told to peers; told again a few
   // times, since words get lost.
-  auto Recent(Millis now) const -> std::vector<PrefixHome>;
+  auto Recent(Millis now) const -> std::vector<PrefixLocation>;
 
  private:
   struct Holders {
@@ -46,7 +46,7 @@
 
   std::unordered_map<PrefixId, Holders> holders_;
   std::list<PrefixId> by_use_;  // the newest first
-  std::deque<std::pair<Millis, PrefixHome>> recent_;
+  std::deque<std::pair<Millis, PrefixLocation>> recent_;
 };
 
 }  // namespace sparbend
--- a/sparbend/core/prefix_homes_test.cc
+++ b/sparbend/core/prefix_homes_test.cc
@@ -8,11 +8,11 @@
 constexpr TargetId kFirst = 101;
 constexpr TargetId kSecond = 102;
 
-TEST_GROUP(PrefixHomes) {
-  PrefixHomes homes;
+TEST_GROUP(PrefixLocations) {
+  PrefixLocations homes;
 };
 
-TEST(PrefixHomes, RemembersTellsAndForgets) {
+TEST(PrefixLocations, RemembersTellsAndForgets) {
   CHECK(homes.Note(1, kFirst, Millis(0)));
   CHECK(!homes.Note(1, kFirst, Millis(10)));
   homes.UpdateFromPeer({1, kSecond}, Millis(10));
@@ -25,7 +25,7 @@
   CHECK(!homes.Holds(1, kFirst, Millis(60'000)));
 }
 
-TEST(PrefixHomes, StaysWithinItsBound) {
+TEST(PrefixLocations, StaysWithinItsBound) {
   for (PrefixId prefix = 0; prefix < 30'000; ++prefix)
     homes.Note(prefix, kFirst, Millis(0));
   CHECK(!homes.Holds(0, kFirst, Millis(1)));
--- a/sparbend/core/sum_parts.cc
+++ b/sparbend/core/sum_parts.cc
@@ -43,7 +43,7 @@
          BytesOf(int64_t{news.heartbeat}) + 1;
 }
 
-auto BytesOf(const PrefixHome& home) -> size_t {
+auto BytesOf(const PrefixLocation& home) -> size_t {
   return BytesOf(int64_t{home.prefix}) + BytesOf(int64_t{home.target});
 }
 
--- a/sparbend/core/work.h
+++ b/sparbend/core/work.h
@@ -50,11 +50,11 @@
 };
 
 // A target that was sent a prefix and is taken to hold it.
-struct PrefixHome {
+struct PrefixLocation {
   PrefixId prefix = 0;
   uint32_t target = 0;
 
-  auto operator<=>(const PrefixHome&) const = default;
+  auto operator<=>(const PrefixLocation&) const = default;
 };
 
 }  // namespace sparbend
