--- a/sparbend/core/list_reading.cc
+++ b/sparbend/core/list_reading.cc
@@ -19,9 +19,10 @@
   // Else one whose duty went to another box would never find the store again.
   if (reading.lost && reading.look_due && reading.since_read >= kRefresh)
     return true;
-  if (reading.look == PeerLook::kSpared)
+  if (reading.look == PeerListCheck::kSpared)
     return false;
-  const bool by_refresh = reading.duty || reading.look == PeerLook::kFailed;
+  const bool by_refresh =
+      reading.duty || reading.look == PeerListCheck::kFailed;
   return by_refresh ? reading.since_read >= kRefresh : reading.look_due;
 }
 
--- a/sparbend/core/list_reading.h
+++ b/sparbend/core/list_reading.h
@@ -8,7 +8,7 @@
 namespace sparbend {
 
 // What came of looking at the peers' lists instead of the store.
-enum class PeerLook {
+enum class PeerListCheck {
   kSpared,   // ours is as young as a fresh one
   kNothing,  // no peer has a fresh one
   kFailed,   // a peer has another one, and did not hand it over
@@ -18,9 +18,9 @@
   bool known = false;  // a list was read at all
   bool duty = false;   // this box reads for its hall
   bool lost = false;   // it did not reach the store when it last tried
-  PeerLook look = PeerLook::kNothing;
+  PeerListCheck look = PeerListCheck::kNothing;
   Millis since_read;      // since this box last read, or tried
-  bool look_due = false;  // it is this box's turn (LookClock)
+  bool look_due = false;  // it is this box's turn (PollTimer)
 };
 
 auto ReadNow(const ListReading& reading) -> bool;
--- a/sparbend/core/look_clock.cc
+++ b/sparbend/core/look_clock.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-void LookClock::Looked(size_t boxes, Millis now) {
+void PollTimer::MarkPolled(size_t boxes, Millis now) {
   const int64_t mean =
       std::clamp(rate_.mean_ms_per_box * static_cast<int64_t>(boxes), kLeastMs,
                  rate_.most_mean_ms);
--- a/sparbend/core/look_clock.h
+++ b/sparbend/core/look_clock.h
@@ -3,7 +3,7 @@
 // they look equally often whatever the size of the fleet, and often enough
 // that one of them soon finds what the watchers missed.
 //
-//   LookClock clock(seed);
+//   PollTimer clock(seed);
 //   if (clock.Due(now)) { clock.Looked(boxes, now); ... }
 #ifndef SPARBEND_CORE_LOOK_CLOCK_H_
 #define SPARBEND_CORE_LOOK_CLOCK_H_
@@ -26,16 +26,16 @@
   auto operator==(const LookRate&) const -> bool = default;
 };
 
-class LookClock {
+class PollTimer {
  public:
   // Boxes with different seeds look at different times.
-  explicit LookClock(uint64_t seed, LookRate rate = {})
+  explicit PollTimer(uint64_t seed, LookRate rate = {})
       : random_(seed), rate_(rate) {}
 
   auto Due(Millis now) const -> bool { return now >= due_; }
   // The box looks now, as one of `boxes` that do; or need not, since it heard
   // of one that looked.
-  void Looked(size_t boxes, Millis now);
+  void MarkPolled(size_t boxes, Millis now);
 
  private:
   std::mt19937_64 random_;
--- a/sparbend/core/look_clock_test.cc
+++ b/sparbend/core/look_clock_test.cc
@@ -8,11 +8,11 @@
 namespace sparbend {
 namespace {
 
-TEST_GROUP(LookClock){};
+TEST_GROUP(PollTimer){};
 
 // Boxes of a fleet look for half a minute; how long nobody looked at most, and
 // how often all did.
-TEST(LookClock, SomeBoxLooksSoonAndTheFleetNoOftenerWhateverItsSize) {
+TEST(PollTimer, SomeBoxLooksSoonAndTheFleetNoOftenerWhateverItsSize) {
   struct Case {
     size_t boxes;
     int64_t longest_gap_ms;  // a half of the bound on taking a change
@@ -25,15 +25,15 @@
       {300, 1'000, 500},
   };
   for (const Case& row : cases) {
-    std::vector<LookClock> clocks;
+    std::vector<PollTimer> clocks;
     for (size_t box = 0; box < row.boxes; ++box)
       clocks.emplace_back(box);
     std::vector<int64_t> looks;
     for (int64_t now = 0; now < 60'000; ++now) {
-      for (LookClock& clock : clocks) {
+      for (PollTimer& clock : clocks) {
         if (!clock.Due(Millis(now)))
           continue;
-        clock.Looked(row.boxes, Millis(now));
+        clock.MarkPolled(row.boxes, Millis(now));
         if (now >= 30'000)
           looks.push_back(now);
       }
--- a/sparbend/core/store_readers_test.cc
+++ b/sparbend/core/store_readers_test.cc
@@ -65,7 +65,7 @@
   }
 }
 
-// Then each looks in turn (LookClock).
+// Then each looks in turn (PollTimer).
 TEST(StoreReaders, NobodyHasTheDutyWhereNobodyReachesTheStore) {
   testing::SharedNodes nodes(30, testing::EngineTargets(20, 8), kHalls);
   for (int box = 0; box < nodes.size(); ++box)
--- a/sparbend/services/declarations.cc
+++ b/sparbend/services/declarations.cc
@@ -22,7 +22,7 @@
 constexpr Millis kHold = Millis(2'000);
 constexpr Millis kPauseAfterFailure = Millis(250);
 // One box of a hall waits on the store. The others hear of a new version from
-// it, and look for themselves now and then (LookClock), in case all who wait
+// it, and look for themselves now and then (PollTimer), in case all who wait
 // are cut off. While boxes that wait are heard to reach the store, others look
 // about twice a second in the whole fleet.
 constexpr LookRate kRareLooks = {550, 300'000};
@@ -160,13 +160,13 @@
   if (rare_looks_.Due(now))
     return true;
   if (looks_.Due(now))
-    looks_.Looked(Boxes(), now);
+    looks_.MarkPolled(Boxes(), now);
   return false;
 }
 
-void Declarations::Looked(Millis now) {
-  looks_.Looked(Boxes(), now);
-  rare_looks_.Looked(Boxes(), now);
+void Declarations::MarkPolled(Millis now) {
+  looks_.MarkPolled(Boxes(), now);
+  rare_looks_.MarkPolled(Boxes(), now);
 }
 
 auto Declarations::Boxes() const -> size_t {
@@ -188,7 +188,7 @@
       continue;
     }
     looked = now;
-    Looked(now);
+    MarkPolled(now);
     const Millis hold = waits ? kHold : Millis(0);
     const Result<KeyedPage> page = co_await reader.Step(hold);
     if (!page) {
--- a/sparbend/services/declarations.h
+++ b/sparbend/services/declarations.h
@@ -35,7 +35,7 @@
  private:
   auto FollowStore() -> asio::awaitable<void>;
   auto LookDue(Millis now) -> bool;
-  void Looked(Millis now);
+  void MarkPolled(Millis now);
   auto Boxes() const -> size_t;
   auto FollowPeers() -> asio::awaitable<void>;
   auto AskSeeds() -> asio::awaitable<void>;
@@ -52,8 +52,8 @@
   std::shared_ptr<Scheduler> scheduler_;
   std::shared_ptr<Peers> peers_;
   std::shared_ptr<Directory> directory_;
-  LookClock looks_;
-  LookClock rare_looks_;  // while others are heard to look
+  PollTimer looks_;
+  PollTimer rare_looks_;  // while others are heard to look
   Dependency store_{"store-declarations"};
   std::string document_;  // as read, for peers
   int64_t version_ = 0;
--- a/sparbend/services/directory.cc
+++ b/sparbend/services/directory.cc
@@ -5,7 +5,7 @@
 // tells a digest of its sender's list and how long ago that was read, and a
 // box whose digest differs from the freshest one's asks that box for its list.
 // Boxes that hear of no fresh list read the store themselves, in turn
-// (LookClock): the first to succeed spares the others, so a reader that dies or
+// (PollTimer): the first to succeed spares the others, so a reader that dies or
 // is cut off costs a second at most, and an outage no storm of calls.
 //
 // While the store does not answer, the list stands, or another box's younger
@@ -315,19 +315,19 @@
 }
 
 // Takes the freshest list among the peers'.
-auto Directory::FollowPeer() -> asio::awaitable<PeerLook> {
+auto Directory::FollowPeer() -> asio::awaitable<PeerListCheck> {
   const Millis now = kernel_->Now();
   const auto freshest = scheduler_->node().FreshestDirectory(Fresh(), now);
   if (!known_ || !freshest || now - freshest->read_at > Fresh())
-    co_return PeerLook::kNothing;
+    co_return PeerListCheck::kNothing;
   if (freshest->digest == Digest()) {
     if (freshest->read_at > told_)
       SetTold(freshest->read_at);
-    co_return PeerLook::kSpared;
+    co_return PeerListCheck::kSpared;
   }
   // Ours is younger, or is that one.
   if (freshest->read_at <= std::max(told_, asked_for_ + kLook))
-    co_return PeerLook::kSpared;
+    co_return PeerListCheck::kSpared;
   const Json nothing = Json::object();
   const Result<Json> answer =
       co_await peers_->Call(freshest->box, kMethod, nothing, kListCallTime);
@@ -335,7 +335,7 @@
   if (answer)
     asked_for_ = freshest->read_at;
   co_await Sleep(kLook);  // a list that was not taken is not asked for at once
-  co_return answer ? PeerLook::kSpared : PeerLook::kFailed;
+  co_return answer ? PeerListCheck::kSpared : PeerListCheck::kFailed;
 }
 
 auto Directory::FollowTargets() -> asio::awaitable<void> {
@@ -345,24 +345,25 @@
     EndLapsed();
     const Millis now = kernel_->Now();
     const bool duty = scheduler_->node().IsStoreReader(now);
-    PeerLook look = PeerLook::kNothing;
+    PeerListCheck look = PeerListCheck::kNothing;
     if (!duty)
       look = co_await FollowPeer();
     // Nobody's turn came in time: what this box sends would soon be refused.
-    if (look == PeerLook::kNothing &&
+    if (look == PeerListCheck::kNothing &&
         scheduler_->node().ListOutOfDate(now + kReadBefore))
-      look = PeerLook::kFailed;
+      look = PeerListCheck::kFailed;
     if (!ReadNow({known_, duty, store_.lost(), look, now - read_at,
                   looks_.Due(now)})) {
       // A box whose turn came while it was spared would read at once when words
       // stop, and all others of its hall with it.
-      if (look == PeerLook::kSpared && looks_.Due(now))
-        looks_.Looked(scheduler_->node().members().list().boxes.size(), now);
+      if (look == PeerListCheck::kSpared && looks_.Due(now))
+        looks_.MarkPolled(scheduler_->node().members().list().boxes.size(),
+                          now);
       co_await kernel_->SleepToTick(kLook);
       continue;
     }
     read_at = now;
-    looks_.Looked(scheduler_->node().members().list().boxes.size(), now);
+    looks_.MarkPolled(scheduler_->node().members().list().boxes.size(), now);
     co_await ReadTargets(&reader);
   }
 }
--- a/sparbend/services/directory.h
+++ b/sparbend/services/directory.h
@@ -39,7 +39,7 @@
  private:
   auto FollowTargets() -> asio::awaitable<void>;
   auto ReadTargets(FeedReader* reader) -> asio::awaitable<void>;
-  auto FollowPeer() -> asio::awaitable<PeerLook>;
+  auto FollowPeer() -> asio::awaitable<PeerListCheck>;
   // Of the names of all targets and boxes, and of each target which life it is
   // in, whether it leaves and whether it is cold.
   auto Digest() const -> uint32_t;
@@ -76,7 +76,7 @@
   std::shared_ptr<Admin> admin_;
   std::shared_ptr<Metrics> metrics_;
   Dependency store_{"store-directory"};
-  LookClock looks_;  // where no other box's list is fresh
+  PollTimer looks_;  // where no other box's list is fresh
   TargetTable book_;
   std::map<std::string, BoxEntry> boxes_;
   std::string written_;  // own record as the store has it
