--- a/sparbend/core/members.cc
+++ b/sparbend/core/members.cc
@@ -26,9 +26,10 @@
 }  // namespace
 
 auto IdOf(const TargetEntry& target) -> TargetId {
-  return target.born == 0
+  return target.started_at_ms == 0
              ? TargetIdOf(target.name)
-             : TargetIdOf(target.name + "@" + std::to_string(target.born));
+             : TargetIdOf(target.name + "@" +
+                          std::to_string(target.started_at_ms));
 }
 
 Members::Members(std::string self, uint32_t incarnation)
--- a/sparbend/core/members.h
+++ b/sparbend/core/members.h
@@ -45,7 +45,7 @@
   bool leaving = false;
   // When it started, in Unix milliseconds by its own clock; zero: not told. A
   // target may start again under its name, and then knows nothing of before.
-  int64_t born = 0;
+  int64_t started_at_ms = 0;
   // How much longer from `beat` on it bears few requests only.
   Millis cold_left;
   // Rises with each sign of life since it started; zero: not told. Entries that
@@ -53,9 +53,9 @@
   int64_t beat = 0;
 
   auto operator==(const TargetEntry& other) const -> bool {
-    return std::tie(name, hall, pool, address, slots, leaving, born) ==
+    return std::tie(name, hall, pool, address, slots, leaving, started_at_ms) ==
            std::tie(other.name, other.hall, other.pool, other.address,
-                    other.slots, other.leaving, other.born);
+                    other.slots, other.leaving, other.started_at_ms);
   }
 };
 
--- a/sparbend/core/node.h
+++ b/sparbend/core/node.h
@@ -75,7 +75,9 @@
   void OnStoreFailed(Millis sent);
   // Whether this box reads the store for its hall.
   auto IsStoreReader(Millis now) const -> bool;
-  auto store_contact() const -> const StoreContact& { return store_contact_; }
+  auto store_contact() const -> const StoreAvailability& {
+    return store_contact_;
+  }
   // Whether the list is so old that a target in it may have left and ended by
   // now, though the store could be read meanwhile: then nothing may be sent. A
   // list stands for as long as the store is away.
@@ -196,7 +198,7 @@
   uint32_t directory_ = 0;
   std::optional<Millis> directory_read_at_;
   bool reads_store_ = true;
-  StoreContact store_contact_;
+  StoreAvailability store_contact_;
 };
 
 }  // namespace sparbend
--- a/sparbend/core/placement.h
+++ b/sparbend/core/placement.h
@@ -202,7 +202,7 @@
   LoadTable loads_;
   PrefixLocations homes_;
   TargetHealth health_;
-  TargetSilence silence_;
+  StreamStallDetector silence_;
   ColdTargets cold_;
   TargetBackoff backoff_;
   ServiceChoice services_;
--- a/sparbend/core/store_contact.cc
+++ b/sparbend/core/store_contact.cc
@@ -22,30 +22,30 @@
 
 }  // namespace
 
-auto StoreContact::FailedBetween(Millis from, Millis to) const -> bool {
+auto StoreAvailability::FailedBetween(Millis from, Millis to) const -> bool {
   const auto within = [&](const std::optional<Millis>& failed) {
     return failed && *failed > from && *failed < to;
   };
   return within(first_failed_) || within(last_failed_);
 }
 
-auto StoreContact::Continues(Millis next, Millis longest) const -> bool {
+auto StoreAvailability::Continues(Millis next, Millis longest) const -> bool {
   return next - span_->until <= longest && !FailedBetween(span_->until, next);
 }
 
-void StoreContact::Begin(const AnsweredSpan& span) {
+void StoreAvailability::Begin(const AnsweredSpan& span) {
   after_break_ = after_break_ || span_.has_value();
   span_ = span;
 }
 
-void StoreContact::OnAnswered(Millis now) {
+void StoreAvailability::OnAnswered(Millis now) {
   if (span_ && (now <= span_->until || Continues(now, kLongestPause)))
     span_->until = std::max(span_->until, now);
   else
     Begin({now, now});
 }
 
-void StoreContact::OnFailed(Millis sent) {
+void StoreAvailability::OnFailed(Millis sent) {
   if (span_ && sent <= span_->until)
     return;
   if (!first_failed_ || (span_ && *first_failed_ <= span_->until))
@@ -53,7 +53,7 @@
   last_failed_ = sent;
 }
 
-void StoreContact::OnPeerSpan(const AnsweredSpan& span) {
+void StoreAvailability::OnPeerSpan(const AnsweredSpan& span) {
   if (!span_) {
     Begin(span);
     return;
@@ -68,11 +68,11 @@
   span_->until = std::max(span_->until, span.until);
 }
 
-auto StoreContact::RecordsMayLapse(Millis read_at) const -> bool {
+auto StoreAvailability::RecordsMayLapse(Millis read_at) const -> bool {
   return after_break_ && span_ && read_at < span_->since + kLapseGrace;
 }
 
-auto StoreContact::AnsweredSince(Millis read_at) const -> bool {
+auto StoreAvailability::AnsweredSince(Millis read_at) const -> bool {
   return span_ && span_->until - std::max(read_at, span_->since) > kLongestGap;
 }
 
--- a/sparbend/core/store_contact.h
+++ b/sparbend/core/store_contact.h
@@ -25,7 +25,7 @@
   auto operator==(const AnsweredSpan&) const -> bool = default;
 };
 
-class StoreContact {
+class StoreAvailability {
  public:
   // A call of this box was answered.
   void OnAnswered(Millis now);
--- a/sparbend/core/store_contact_test.cc
+++ b/sparbend/core/store_contact_test.cc
@@ -28,7 +28,7 @@
   return {Event::Kind::kHeard, since, until};
 }
 
-void Play(const std::vector<Event>& events, StoreContact* contact) {
+void Play(const std::vector<Event>& events, StoreAvailability* contact) {
   for (const Event& event : events) {
     switch (event.kind) {
       case Event::Kind::kAnswered:
@@ -44,9 +44,9 @@
   }
 }
 
-TEST_GROUP(StoreContact){};
+TEST_GROUP(StoreAvailability){};
 
-TEST(StoreContact, TellsAnOutageFromAFailureOfThisBoxAlone) {
+TEST(StoreAvailability, TellsAnOutageFromAFailureOfThisBoxAlone) {
   struct Case {
     const char* what;
     std::vector<Event> events;
@@ -131,7 +131,7 @@
        true},
   };
   for (const Case& row : cases) {
-    StoreContact contact;
+    StoreAvailability contact;
     CHECK(!contact.span());
     Play(row.events, &contact);
     CHECK_EQUAL_TEXT(row.since, contact.span()->since.count(), row.what);
@@ -141,7 +141,7 @@
   }
 }
 
-TEST(StoreContact, ABoxHasTheTimeOfAReadAfterTheStoreIsBack) {
+TEST(StoreAvailability, ABoxHasTheTimeOfAReadAfterTheStoreIsBack) {
   struct Case {
     const char* what;
     std::vector<Event> events;
@@ -155,7 +155,7 @@
       {"for long", {Answered(0), Heard(9'000, 10'151)}, true},
   };
   for (const Case& row : cases) {
-    StoreContact contact;
+    StoreAvailability contact;
     Play(row.events, &contact);
     CHECK_EQUAL_TEXT(row.answered_since, contact.AnsweredSince(Millis(0)),
                      row.what);
@@ -165,17 +165,17 @@
 // Boxes of which some are turned away at random while the store serves the
 // others, and which tell each other what they know: none doubts a record once
 // it has heard of one that was served all the while.
-TEST(StoreContact, NobodyDoubtsAStoreThatServedSomebodyAllTheWhile) {
+TEST(StoreAvailability, NobodyDoubtsAStoreThatServedSomebodyAllTheWhile) {
   testing::CheckHolds("one box served throughout", [] {
     constexpr int64_t kStep = 400;
     constexpr size_t kBoxes = 5;
     const auto steps = *rc::gen::container<std::vector<std::vector<bool>>>(
         rc::gen::container<std::vector<bool>>(kBoxes,
                                               rc::gen::arbitrary<bool>()));
-    std::vector<StoreContact> boxes(kBoxes);
+    std::vector<StoreAvailability> boxes(kBoxes);
     int64_t now = 0;
     const auto tell_all = [&] {
-      for (StoreContact& box : boxes) {
+      for (StoreAvailability& box : boxes) {
         if (boxes[0].span())
           box.OnPeerSpan(*boxes[0].span());
       }
@@ -190,7 +190,7 @@
           boxes[box].OnFailed(Millis(now - 1));
       }
       tell_all();
-      for (const StoreContact& box : boxes)
+      for (const StoreAvailability& box : boxes)
         RC_ASSERT(!box.RecordsMayLapse(Millis(now)));
     }
   });
--- a/sparbend/core/target_births_test.cc
+++ b/sparbend/core/target_births_test.cc
@@ -15,10 +15,11 @@
 namespace sparbend {
 namespace {
 
-auto Entry(int64_t born, int64_t beat, bool leaving = false) -> TargetEntry {
+auto Entry(int64_t started_at_ms, int64_t beat, bool leaving = false)
+    -> TargetEntry {
   TargetEntry entry;
   entry.name = "a";
-  entry.born = born;
+  entry.started_at_ms = started_at_ms;
   entry.beat = beat;
   entry.leaving = leaving;
   return entry;
@@ -52,7 +53,7 @@
 auto Tell(const TargetTable& book) -> std::string {
   std::string text;
   for (const auto& [name, known] : book.known())
-    text += std::to_string(known.entry.born) + "/" +
+    text += std::to_string(known.entry.started_at_ms) + "/" +
             std::to_string(known.entry.beat) + (known.entry.leaving ? "-" : "");
   return text;
 }
@@ -170,7 +171,7 @@
     book.Put(last, end + 1, Millis(0));
     for (const size_t i : order)
       book.Put(records[i].second, records[i].first, Millis(0));
-    RC_ASSERT(book.known().at("a").entry.born == last.born);
+    RC_ASSERT(book.known().at("a").entry.started_at_ms == last.started_at_ms);
     RC_ASSERT(book.known().at("a").entry.beat == last.beat);
   });
 }
--- a/sparbend/core/target_book.cc
+++ b/sparbend/core/target_book.cc
@@ -26,22 +26,23 @@
 
 auto TargetTable::IsOld(const TargetEntry& entry, int64_t offset) const
     -> bool {
-  const auto sign = std::tie(entry.born, entry.beat);
+  const auto sign = std::tie(entry.started_at_ms, entry.beat);
   const auto dropped = dropped_.find(entry.name);
   if (dropped != dropped_.end()) {
     const Dropped& drop = dropped->second;
     // Where no count is told, the offset alone decides.
-    const bool counted = entry.beat > 0 || entry.born != drop.born;
+    const bool counted =
+        entry.beat > 0 || entry.started_at_ms != drop.started_at_ms;
     if (offset <= drop.offset ||
-        (counted && sign <= std::tie(drop.born, drop.beat)))
+        (counted && sign <= std::tie(drop.started_at_ms, drop.beat)))
       return true;
   }
   const auto found = known_.find(entry.name);
   if (found == known_.end())
     return false;
   const Known& known = found->second;
-  if (entry.born != known.entry.born)
-    return entry.born < known.entry.born;
+  if (entry.started_at_ms != known.entry.started_at_ms)
+    return entry.started_at_ms < known.entry.started_at_ms;
   return offset < known.offset || entry.beat < known.entry.beat;
 }
 
@@ -87,7 +88,7 @@
   dropped.offset = std::max(dropped.offset, offset);
   if (found == known_.end() || offset < found->second.offset)
     return false;
-  dropped.born = found->second.entry.born;
+  dropped.started_at_ms = found->second.entry.started_at_ms;
   dropped.beat = found->second.entry.beat;
   return Lapse(found, removal);
 }
@@ -97,7 +98,7 @@
   if (dropped_.size() >= kMostDropped)
     dropped_.clear();
   Dropped& dropped = dropped_[known.entry.name];
-  dropped = {std::max(dropped.offset, end - 1), known.entry.born,
+  dropped = {std::max(dropped.offset, end - 1), known.entry.started_at_ms,
              known.entry.beat};
 }
 
--- a/sparbend/core/target_book.h
+++ b/sparbend/core/target_book.h
@@ -20,7 +20,7 @@
 // What it means that a target's record is gone.
 enum class Removal {
   kFinal,     // the target is gone
-  kDoubtful,  // the store may have lost the record; see StoreContact
+  kDoubtful,  // the store may have lost the record; see StoreAvailability
 };
 
 class TargetTable {
@@ -64,9 +64,9 @@
 
   std::map<std::string, Known> known_;
   struct Dropped {
-    int64_t offset = 0;  // of the drop
-    int64_t born = 0;    // of the last life known before
-    int64_t beat = 0;    // its last one known
+    int64_t offset = 0;         // of the drop
+    int64_t started_at_ms = 0;  // of the last life known before
+    int64_t beat = 0;           // its last one known
   };
   std::map<std::string, Dropped> dropped_;
 };
--- a/sparbend/core/target_silence.cc
+++ b/sparbend/core/target_silence.cc
@@ -21,14 +21,14 @@
 
 }  // namespace
 
-void TargetSilence::OnBegun(TargetId target, Millis now) {
+void StreamStallDetector::OnBegun(TargetId target, Millis now) {
   State& state = states_[target];
   if (state.streams == 0)
     state.heard = now;
   ++state.streams;
 }
 
-void TargetSilence::OnBytes(TargetId target, Millis now) {
+void StreamStallDetector::OnBytes(TargetId target, Millis now) {
   const auto found = states_.find(target);
   if (found == states_.end())
     return;
@@ -40,13 +40,13 @@
   state.heard = now;
 }
 
-void TargetSilence::OnEnded(TargetId target) {
+void StreamStallDetector::OnEnded(TargetId target) {
   const auto found = states_.find(target);
   if (found != states_.end() && --found->second.streams <= 0)
     states_.erase(found);
 }
 
-auto TargetSilence::Quiet(TargetId target, Millis now) const -> bool {
+auto StreamStallDetector::Quiet(TargetId target, Millis now) const -> bool {
   const auto found = states_.find(target);
   if (found == states_.end() || found->second.streams < kLeastStreams)
     return false;
--- a/sparbend/core/target_silence.h
+++ b/sparbend/core/target_silence.h
@@ -18,7 +18,7 @@
 
 namespace sparbend {
 
-class TargetSilence {
+class StreamStallDetector {
  public:
   // A stream from `target` has begun; ended later, whole or not.
   void OnBegun(TargetId target, Millis now);
--- a/sparbend/core/target_silence_test.cc
+++ b/sparbend/core/target_silence_test.cc
@@ -7,9 +7,9 @@
 
 constexpr TargetId kTarget = 7;
 
-TEST_GROUP(TargetSilence){};
+TEST_GROUP(StreamStallDetector){};
 
-TEST(TargetSilence, ATargetIsQuietWhenSeveralStreamsPauseForMuchLonger) {
+TEST(StreamStallDetector, ATargetIsQuietWhenSeveralStreamsPauseForMuchLonger) {
   struct Case {
     const char* what;
     int streams;
@@ -27,7 +27,7 @@
       {"not even those", 3, 400, 2'100, true},
   };
   for (const Case& row : cases) {
-    TargetSilence silence;
+    StreamStallDetector silence;
     Millis now(1'000);
     for (int i = 0; i < row.streams; ++i)
       silence.OnBegun(kTarget, now);
@@ -41,8 +41,8 @@
   }
 }
 
-TEST(TargetSilence, OneByteOrTheEndOfItsStreamsMakesItHeardAgain) {
-  TargetSilence silence;
+TEST(StreamStallDetector, OneByteOrTheEndOfItsStreamsMakesItHeardAgain) {
+  StreamStallDetector silence;
   silence.OnBegun(kTarget, Millis(0));
   silence.OnBegun(kTarget, Millis(0));
   CHECK(silence.Quiet(kTarget, Millis(1'000)));
--- a/sparbend/services/directory.cc
+++ b/sparbend/services/directory.cc
@@ -10,7 +10,7 @@
 //
 // While the store does not answer, the list stands, or another box's younger
 // one is taken. Targets whose records are gone after an outage are kept for a
-// while (StoreContact), by all boxes until the same moment.
+// while (StoreAvailability), by all boxes until the same moment.
 #include "sparbend/services/directory.h"
 
 #include <algorithm>
@@ -60,7 +60,7 @@
   return Json{{"name", entry.name},           {"hall", entry.hall},
               {"pool", entry.pool},           {"address", entry.address},
               {"slots", entry.slots},         {"leaving", entry.leaving},
-              {"born", entry.born},           {"beat", entry.beat},
+              {"born", entry.started_at_ms},  {"beat", entry.beat},
               {"cold_ms", cold_left.count()}, {"offset", known.offset},
               {"lapsed", known.lapsed}};
 }
@@ -76,7 +76,7 @@
   entry.address = reader.RequiredString("address");
   entry.slots = static_cast<int>(reader.Integer("slots", {1, 100'000}, 1));
   entry.leaving = reader.Bool("leaving", false);
-  entry.born = reader.Integer("born", {0, INT64_MAX}, 0);
+  entry.started_at_ms = reader.Integer("born", {0, INT64_MAX}, 0);
   entry.cold_left = Millis(reader.Integer("cold_ms", {0, INT64_MAX}, 0));
   entry.beat = reader.Integer("beat", {0, INT64_MAX}, 0);
   *offset = reader.Integer("offset", {0, INT64_MAX}, 0);
@@ -260,7 +260,7 @@
   for (const auto& [name, known] : book_.known()) {
     text += name;
     text += known.entry.leaving ? "-" : "+";
-    text += std::to_string(known.entry.born);
+    text += std::to_string(known.entry.started_at_ms);
     text += known.entry.cold_left > Millis(0) ? "c" : "";
   }
   for (const auto& [name, box] : boxes_)
--- a/testing/platform_path_test.cc
+++ b/testing/platform_path_test.cc
@@ -663,7 +663,8 @@
     return Once(GoodAnswer(request, "good"));
   };
   const std::string address = world.AddTarget("spare-1", "spare", handler);
-  const auto tell = [&](const std::string& where, int64_t born, int64_t beat) {
+  const auto tell = [&](const std::string& where, int64_t started_at_ms,
+                        int64_t beat) {
     world.Put(platform::kTargetsTopic, "reborn-1",
               Json{{"service", "reborn"},
                    {"address", where},
@@ -672,7 +673,7 @@
                    {"slots", 4},
                    {"state", "ready"},
                    {"cold-left-ms", 0},
-                   {"born", born},
+                   {"born", started_at_ms},
                    {"seq", beat}}
                   .dump());
   };
