--- a/sparbend/core/broken_runs.cc
+++ b/sparbend/core/broken_runs.cc
@@ -23,19 +23,21 @@
 
 }  // namespace
 
-void BrokenRuns::Expire(Millis now) {
+void InterruptedAttempts::Expire(Millis now) {
   std::erase_if(targets_, [&](const auto& entry) {
     return now - entry.second.changed >= kKept;
   });
 }
 
-void BrokenRuns::Keep(const BrokenRun& run, std::vector<BrokenRun>* runs) {
+void InterruptedAttempts::Keep(const InterruptedAttempt& run,
+                               std::vector<InterruptedAttempt>* runs) {
   if (runs->size() < kMostRuns)
     runs->push_back(run);
 }
 
-auto BrokenRuns::Add(TargetId target, const BrokenRun& run, Millis now)
-    -> bool {
+auto InterruptedAttempts::Add(TargetId target,
+                              const InterruptedAttempt& run,
+                              Millis now) -> bool {
   Expire(now);
   if (!targets_.contains(target) && targets_.size() >= kMostTargets)
     return false;
@@ -49,8 +51,8 @@
   return ended;
 }
 
-auto BrokenRuns::OnEnded(TargetId target, Millis now)
-    -> std::vector<BrokenRun> {
+auto InterruptedAttempts::OnEnded(TargetId target, Millis now)
+    -> std::vector<InterruptedAttempt> {
   Expire(now);
   if (!targets_.contains(target) && targets_.size() >= kMostTargets)
     return {};
@@ -58,13 +60,13 @@
   state.changed = now;
   state.ended = true;
   state.ended_at = now;
-  for (const BrokenRun& run : state.runs)
+  for (const InterruptedAttempt& run : state.runs)
     Keep(run, &state.handed_out);
   return std::exchange(state.runs, {});
 }
 
-auto BrokenRuns::OnAnswered(TargetId target, Millis began)
-    -> std::vector<BrokenRun> {
+auto InterruptedAttempts::OnAnswered(TargetId target, Millis began)
+    -> std::vector<InterruptedAttempt> {
   const auto found = targets_.find(target);
   if (found == targets_.end())
     return {};
--- a/sparbend/core/broken_runs_test.cc
+++ b/sparbend/core/broken_runs_test.cc
@@ -8,14 +8,14 @@
 constexpr TargetId kTarget = 7;
 constexpr TargetId kOther = 8;
 
-auto RunOf(uint32_t body, Millis began) -> BrokenRun {
-  return {{1, 2, body}, Stamp(), began, began};
+auto RunOf(uint32_t body, Millis began) -> InterruptedAttempt {
+  return {{1, 2, body}, SuspicionVersion(), began, began};
 }
 
-TEST_GROUP(BrokenRuns){};
+TEST_GROUP(InterruptedAttempts){};
 
-TEST(BrokenRuns, AreHandedOutOnceTheirTargetIsKnownToHaveEnded) {
-  BrokenRuns runs;
+TEST(InterruptedAttempts, AreHandedOutOnceTheirTargetIsKnownToHaveEnded) {
+  InterruptedAttempts runs;
   const Millis now(1'000);
   CHECK_FALSE(runs.Add(kTarget, RunOf(1, now), now));
   CHECK_FALSE(runs.Add(kTarget, RunOf(2, now), now));
@@ -28,7 +28,7 @@
 
 // When a run began, when its connection broke, and whether it then counts as
 // ended with a target whose end was known at 1,000.
-TEST(BrokenRuns, ThatAreReadAfterTheEndIsKnownCountIfTheyBeganBefore) {
+TEST(InterruptedAttempts, ThatAreReadAfterTheEndIsKnownCountIfTheyBeganBefore) {
   struct Case {
     int64_t began;
     int64_t broke;
@@ -40,7 +40,7 @@
       {900, 11'000, false},
   };
   for (const Case& row : cases) {
-    BrokenRuns runs;
+    InterruptedAttempts runs;
     runs.OnEnded(kTarget, Millis(1'000));
     CHECK(runs.Add(kTarget, RunOf(1, Millis(row.began)), Millis(row.broke)) ==
           row.ended);
@@ -49,31 +49,32 @@
 
 // When a run's connection was made, and whether the run is blamed for an end
 // after the one that was known at 1,000; it began after that.
-TEST(BrokenRuns, OnConnectionsOfBeforeAKnownEndReachNobody) {
+TEST(InterruptedAttempts, OnConnectionsOfBeforeAKnownEndReachNobody) {
   struct Case {
     int64_t connected;
     size_t blamed;
   };
   const Case cases[] = {{900, 0}, {1'000, 0}, {1'001, 1}};
   for (const Case& row : cases) {
-    BrokenRuns runs;
+    InterruptedAttempts runs;
     runs.OnEnded(kTarget, Millis(1'000));
     CHECK_FALSE(runs.Add(
-        kTarget, {{1, 2, 3}, Stamp(), Millis(row.connected), Millis(1'100)},
+        kTarget,
+        {{1, 2, 3}, SuspicionVersion(), Millis(row.connected), Millis(1'100)},
         Millis(1'200)));
     LONGS_EQUAL(row.blamed, runs.OnEnded(kTarget, Millis(1'210)).size());
   }
 }
 
 // When the answered run was sent, and how many runs are taken back.
-TEST(BrokenRuns, AreTakenBackOnceTheirTargetAnswersALaterRequest) {
+TEST(InterruptedAttempts, AreTakenBackOnceTheirTargetAnswersALaterRequest) {
   struct Case {
     int64_t sent;
     size_t taken_back;
   };
   const Case cases[] = {{900, 0}, {1'000, 0}, {1'001, 2}};
   for (const Case& row : cases) {
-    BrokenRuns runs;
+    InterruptedAttempts runs;
     runs.Add(kTarget, RunOf(1, Millis(800)), Millis(990));
     runs.OnEnded(kTarget, Millis(1'000));
     CHECK(runs.Add(kTarget, RunOf(2, Millis(800)), Millis(1'010)));
@@ -83,14 +84,14 @@
   }
 }
 
-TEST(BrokenRuns, ThatBrokeLongBeforeAreForgotten) {
-  BrokenRuns runs;
+TEST(InterruptedAttempts, ThatBrokeLongBeforeAreForgotten) {
+  InterruptedAttempts runs;
   runs.Add(kTarget, RunOf(1, Millis(0)), Millis(0));
   CHECK(runs.OnEnded(kTarget, Millis(10'000)).empty());
 }
 
-TEST(BrokenRuns, OfOneTargetAreBounded) {
-  BrokenRuns runs;
+TEST(InterruptedAttempts, OfOneTargetAreBounded) {
+  InterruptedAttempts runs;
   for (uint32_t i = 0; i < 1'000; ++i)
     runs.Add(kTarget, RunOf(i, Millis(1)), Millis(1));
   LONGS_EQUAL(256, runs.OnEnded(kTarget, Millis(2)).size());
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -187,7 +187,9 @@
 // A rack or a cut makes many requests suspects at once, and no request twice:
 // such news waits for the next word when some went out just before, and always
 // in a large fleet, where all boxes at once would tell it to all.
-void Node::OnRunEnded(const Fingerprint& request, Stamp stamp, Millis now) {
+void Node::OnTargetExit(const Fingerprint& request,
+                        SuspicionVersion stamp,
+                        Millis now) {
   if (!quarantine_.OnEnded(request, stamp, now))
     return;
   const bool again = stamp.ends > 0;
--- a/sparbend/core/node.h
+++ b/sparbend/core/node.h
@@ -88,7 +88,9 @@
   // news.
   auto OnTargetLeaving(TargetId target) -> bool;
   // A request sent at `stamp` was at a target when that ended; told to all.
-  void OnRunEnded(const Fingerprint& request, Stamp stamp, Millis now);
+  void OnTargetExit(const Fingerprint& request,
+                    SuspicionVersion stamp,
+                    Millis now);
   // This box leaves: no duties any more, told to all.
   void Leave();
 
--- a/sparbend/core/quarantine.cc
+++ b/sparbend/core/quarantine.cc
@@ -59,9 +59,10 @@
          found->first.path == path;
 }
 
-auto Quarantine::StampOf(const Fingerprint& request) const -> Stamp {
+auto Quarantine::SuspicionVersionOf(const Fingerprint& request) const
+    -> SuspicionVersion {
   const auto found = rows_.find(request);
-  return found == rows_.end() ? Stamp() : found->second.known;
+  return found == rows_.end() ? SuspicionVersion() : found->second.known;
 }
 
 auto Quarantine::BlockedFor(const Fingerprint& request, Millis now) const
@@ -73,19 +74,21 @@
   return std::max(Millis(0), row.at + BlockSpan(row.known.ends) - now);
 }
 
-auto Quarantine::OnEnded(const Fingerprint& request, Stamp stamp, Millis now)
-    -> bool {
+auto Quarantine::OnEnded(const Fingerprint& request,
+                         SuspicionVersion stamp,
+                         Millis now) -> bool {
   const uint32_t ends = std::min(stamp.ends + 1, kMostEnds);
-  const Stamp known = {stamp.cleared, ends};
-  if (known <= StampOf(request))
+  const SuspicionVersion known = {stamp.cleared, ends};
+  if (known <= SuspicionVersionOf(request))
     return false;
   Change(request, {known, now, /*kept=*/true}, now);
   return true;
 }
 
-auto Quarantine::OnWhole(const Fingerprint& request, Stamp stamp, Millis now)
-    -> bool {
-  const Stamp known = StampOf(request);
+auto Quarantine::OnWhole(const Fingerprint& request,
+                         SuspicionVersion stamp,
+                         Millis now) -> bool {
+  const SuspicionVersion known = SuspicionVersionOf(request);
   if (known.ends == 0 || known.cleared != stamp.cleared)
     return false;
   Change(request, {{known.cleared + 1, 0}, now}, now);
@@ -100,7 +103,7 @@
       held.push_back(row->first);
   }
   for (const Fingerprint& request : held)
-    OnWhole(request, StampOf(request), now);
+    OnWhole(request, SuspicionVersionOf(request), now);
   return held.size();
 }
 
@@ -194,10 +197,10 @@
 void Quarantine::UpdateFromPeer(const std::vector<Suspicion>& told,
                                 Millis now) {
   for (const Suspicion& row : told) {
-    const Stamp known = {row.cleared, std::min(row.ends, kMostEnds)};
+    const SuspicionVersion known = {row.cleared, std::min(row.ends, kMostEnds)};
     const Millis age(int64_t{row.age_s} * kSecondMs);
     const bool over = age >= BlockSpan(known.ends) + kRemembered;
-    if (!over && known > StampOf(row.request))
+    if (!over && known > SuspicionVersionOf(row.request))
       Change(row.request, {known, now - age}, now);
   }
 }
@@ -225,7 +228,7 @@
   for (const Fingerprint& request : std::exchange(newly_blocked_, {})) {
     const Millis span = BlockedFor(request, now);
     if (span > Millis(0))
-      blocked.push_back({request, StampOf(request).ends, span});
+      blocked.push_back({request, SuspicionVersionOf(request).ends, span});
   }
   return blocked;
 }
--- a/sparbend/core/quarantine.h
+++ b/sparbend/core/quarantine.h
@@ -2,8 +2,8 @@
 // not to be sent for now. Any box adds what it saw; all come to the same view
 // from each other's words, in any order.
 //
-//   const Stamp stamp = quarantine.StampOf(request);   // when it is sent
-//   quarantine.OnEnded(request, stamp, now);           // its target ended
+//   const Stamp stamp = quarantine.SuspicionVersionOf(request);   // when it is
+//   sent quarantine.OnEnded(request, stamp, now);           // its target ended
 //   quarantine.OnWhole(request, stamp, now);           // or answered it whole
 //   if (quarantine.BlockedFor(request, now) > Millis(0)) refuse it
 //   peer.quarantine.Learn(quarantine.Told(now), now);
@@ -25,11 +25,11 @@
 namespace sparbend {
 
 // What was known of a request when one of its runs was sent.
-struct Stamp {
+struct SuspicionVersion {
   uint32_t cleared = 0;
   uint32_t ends = 0;
 
-  auto operator<=>(const Stamp&) const = default;
+  auto operator<=>(const SuspicionVersion&) const = default;
 };
 
 class Quarantine {
@@ -40,16 +40,18 @@
   // looked at.
   auto Concerns(WorkspaceId workspace, uint32_t path) const -> bool;
 
-  auto StampOf(const Fingerprint& request) const -> Stamp;
+  auto SuspicionVersionOf(const Fingerprint& request) const -> SuspicionVersion;
   // How much longer it is not to be sent; zero: it may be.
   auto BlockedFor(const Fingerprint& request, Millis now) const -> Millis;
 
   // A run sent at `stamp` was at a target when that ended. True if that is
   // news.
-  auto OnEnded(const Fingerprint& request, Stamp stamp, Millis now) -> bool;
+  auto OnEnded(const Fingerprint& request, SuspicionVersion stamp, Millis now)
+      -> bool;
   // A run sent at `stamp` was answered whole, or its target turned out to
   // live. True if the request was suspected until now.
-  auto OnWhole(const Fingerprint& request, Stamp stamp, Millis now) -> bool;
+  auto OnWhole(const Fingerprint& request, SuspicionVersion stamp, Millis now)
+      -> bool;
   // An operator lets all requests of the workspace go; how many were held.
   auto Lift(WorkspaceId workspace, Millis now) -> size_t;
 
@@ -82,7 +84,7 @@
 
  private:
   struct Row {
-    Stamp known;
+    SuspicionVersion known;
     Millis at;          // of the last change, wherever it was made
     bool kept = false;  // written down by this box
   };
--- a/sparbend/core/quarantine_fleet_test.cc
+++ b/sparbend/core/quarantine_fleet_test.cc
@@ -107,7 +107,7 @@
     int box = 0;
     size_t target = 0;
     Fingerprint request;
-    Stamp stamp;
+    SuspicionVersion stamp;
     Millis ends;
     int tries_left = 0;
   };
@@ -139,7 +139,8 @@
         quarantine.BlockedFor(request, nodes_.now()) > Millis(0);
     if (!target || blocked)
       return false;
-    runs_.push_back({box, *target, request, quarantine.StampOf(request),
+    runs_.push_back({box, *target, request,
+                     quarantine.SuspicionVersionOf(request),
                      nodes_.now() + span, tries_left});
     return true;
   }
@@ -185,7 +186,7 @@
       return true;
     });
     for (const Sent& run : broken)
-      nodes_.at(run.box).OnRunEnded(run.request, run.stamp, nodes_.now());
+      nodes_.at(run.box).OnTargetExit(run.request, run.stamp, nodes_.now());
     for (const Sent& run : broken) {
       if (run.tries_left > 0)
         StartInnocent(run.request.body, run.tries_left);
@@ -262,12 +263,14 @@
       Quarantine& quarantine = nodes.at(box).quarantine();
       CHECK_TEXT(quarantine.BlockedFor(polled, nodes.now()) == Millis(0),
                  row.name);
-      quarantine.OnWhole(polled, quarantine.StampOf(polled), nodes.now());
+      quarantine.OnWhole(polled, quarantine.SuspicionVersionOf(polled),
+                         nodes.now());
       if (since % row.pause.count() != 0)
         continue;
       for (int i = 0; i < row.ends_at_once; ++i) {
         Node& node = nodes.at((box + i + 1) % kBoxes);
-        node.OnRunEnded(polled, node.quarantine().StampOf(polled), nodes.now());
+        node.OnTargetExit(polled, node.quarantine().SuspicionVersionOf(polled),
+                          nodes.now());
       }
     }
   }
@@ -289,8 +292,8 @@
     };
     play(kWarmUp);
     const Fingerprint deadly = RequestOf(kDeadlyBody);
-    nodes.at(0).OnRunEnded(deadly, {0, 0}, nodes.now());
-    nodes.at(0).OnRunEnded(deadly, {0, 1}, nodes.now());
+    nodes.at(0).OnTargetExit(deadly, {0, 0}, nodes.now());
+    nodes.at(0).OnTargetExit(deadly, {0, 1}, nodes.now());
     play(Millis(10'000));
     nodes.Restart(1);
     play(kContact);
--- a/sparbend/core/quarantine_test.cc
+++ b/sparbend/core/quarantine_test.cc
@@ -16,7 +16,7 @@
   enum class Outcome { kEnded, kWhole };
   using enum Outcome;
   struct Run {
-    Stamp sent_at;
+    SuspicionVersion sent_at;
     Outcome outcome;
   };
   struct Case {
@@ -77,7 +77,7 @@
   const Millis later = kStart + Millis(120'000);
   CHECK_EQUAL(1, quarantine.BlockedFor(kRequest, later - Millis(1)).count());
   CHECK_EQUAL(0, quarantine.BlockedFor(kRequest, later).count());
-  quarantine.OnEnded(kRequest, quarantine.StampOf(kRequest), later);
+  quarantine.OnEnded(kRequest, quarantine.SuspicionVersionOf(kRequest), later);
   CHECK_EQUAL(1'200'000, quarantine.BlockedFor(kRequest, later).count());
 }
 
@@ -114,8 +114,8 @@
   for (uint32_t body = 100; body < 2'000; ++body)
     quarantine.OnEnded({1, 2, body}, {0, 0}, kStart + Millis(body));
   LONGS_EQUAL(257, quarantine.size());
-  CHECK(quarantine.StampOf(other) == Stamp({0, 1}));
-  CHECK(quarantine.StampOf(kRequest) == Stamp({0, 2}));
+  CHECK(quarantine.SuspicionVersionOf(other) == SuspicionVersion({0, 1}));
+  CHECK(quarantine.SuspicionVersionOf(kRequest) == SuspicionVersion({0, 2}));
 }
 
 TEST(Quarantine, ForgetsWhatIsNotBlockedAfterTenMinutes) {
@@ -157,7 +157,7 @@
   one.OnEnded(kRequest, {0, 0}, kStart);
   CHECK(one.Kept(kStart).empty());
   other.UpdateFromPeer(one.RowsToReport(kStart), kStart);
-  other.OnEnded(kRequest, other.StampOf(kRequest), kStart);
+  other.OnEnded(kRequest, other.SuspicionVersionOf(kRequest), kStart);
   one.UpdateFromPeer(other.RowsToReport(kStart), kStart);
   CHECK(one.Kept(kStart).empty());
   CHECK(other.TakeKeptChanged());
@@ -202,7 +202,7 @@
       Quarantine& box = boxes[static_cast<size_t>(event) % kBoxes];
       Quarantine& peer = boxes[static_cast<size_t>(event / 3) % kBoxes];
       const Fingerprint request = {1, 2, static_cast<uint32_t>(event / 9 % 2)};
-      const Stamp stamp = box.StampOf(request);
+      const SuspicionVersion stamp = box.SuspicionVersionOf(request);
       switch (event / 18 % 4) {
         case 0:
         case 1:
@@ -226,7 +226,8 @@
     for (const uint32_t body : {0U, 1U}) {
       const Fingerprint request = {1, 2, body};
       for (const Quarantine& box : boxes) {
-        RC_ASSERT(box.StampOf(request) == boxes[0].StampOf(request));
+        RC_ASSERT(box.SuspicionVersionOf(request) ==
+                  boxes[0].SuspicionVersionOf(request));
         RC_ASSERT(box.BlockedFor(request, kStart) ==
                   boxes[0].BlockedFor(request, kStart));
       }
--- a/sparbend/services/crash_watch.cc
+++ b/sparbend/services/crash_watch.cc
@@ -29,8 +29,8 @@
     return;
   if (!exchange->fingerprint)
     exchange->fingerprint = FingerprintOf(*exchange);
-  const BrokenRun run = {*exchange->fingerprint, exchange->stamp,
-                         connection.made_at, connection.sent_at};
+  const InterruptedAttempt run = {*exchange->fingerprint, exchange->stamp,
+                                  connection.made_at, connection.sent_at};
   Log(LogLevel::kInfo, "run-broken",
       {{"request", exchange->request_id},
        {"caller_id", exchange->caller_id},
@@ -44,18 +44,19 @@
 }
 
 void CrashWatch::OnRefused(const Slot& slot) {
-  const std::vector<BrokenRun> runs = runs_.OnEnded(slot.id, kernel_->Now());
+  const std::vector<InterruptedAttempt> runs =
+      runs_.OnEnded(slot.id, kernel_->Now());
   if (!runs.empty())
     NoteEnded(slot, runs);
 }
 
 void CrashWatch::OnAnswered(const Slot& slot, Millis began) {
-  const std::vector<BrokenRun> runs = runs_.OnAnswered(slot.id, began);
+  const std::vector<InterruptedAttempt> runs = runs_.OnAnswered(slot.id, began);
   if (runs.empty())
     return;
   Log(LogLevel::kInfo, "target-lives",
       {{"target", slot.target}, {"runs", runs.size()}});
-  for (const BrokenRun& run : runs)
+  for (const InterruptedAttempt& run : runs)
     scheduler_->node().quarantine().OnWhole(run.request, run.stamp,
                                             kernel_->Now());
 }
@@ -73,9 +74,9 @@
 }
 
 void CrashWatch::NoteEnded(const Slot& slot,
-                           const std::vector<BrokenRun>& runs) {
+                           const std::vector<InterruptedAttempt>& runs) {
   Json fingerprints = Json::array();
-  for (const BrokenRun& run : runs) {
+  for (const InterruptedAttempt& run : runs) {
     if (fingerprints.size() < kMostNamed)
       fingerprints.push_back(ToString(run.request));
   }
@@ -84,8 +85,8 @@
       {{"target", slot.target},
        {"runs", runs.size()},
        {"fingerprints", fingerprints}});
-  for (const BrokenRun& run : runs)
-    scheduler_->OnRunEnded(run.request, run.stamp);
+  for (const InterruptedAttempt& run : runs)
+    scheduler_->OnTargetExit(run.request, run.stamp);
 }
 
 }  // namespace sparbend
--- a/sparbend/services/crash_watch.h
+++ b/sparbend/services/crash_watch.h
@@ -35,13 +35,13 @@
 
  private:
   auto Look(Slot slot) -> asio::awaitable<void>;
-  void NoteEnded(const Slot& slot, const std::vector<BrokenRun>& runs);
+  void NoteEnded(const Slot& slot, const std::vector<InterruptedAttempt>& runs);
 
   Kernel* kernel_;
   Millis connect_time_;
   std::shared_ptr<Scheduler> scheduler_;
   std::shared_ptr<Metrics> metrics_;
-  BrokenRuns runs_;
+  InterruptedAttempts runs_;
   std::set<TargetId> looking_;
 };
 
--- a/sparbend/services/exchange.h
+++ b/sparbend/services/exchange.h
@@ -70,7 +70,7 @@
   // Known once it matters: while requests of its kind are suspected of ending
   // their targets, or its connection broke.
   std::optional<Fingerprint> fingerprint;
-  Stamp stamp;                   // of the attempt under way
+  SuspicionVersion stamp;        // of the attempt under way
   std::function<void()> cancel;  // ends the attempt under way
 };
 
--- a/sparbend/services/runner.cc
+++ b/sparbend/services/runner.cc
@@ -127,8 +127,8 @@
     -> asio::awaitable<AttemptResult> {
   Quarantine& quarantine = scheduler_->node().quarantine();
   exchange->stamp = exchange->fingerprint
-                        ? quarantine.StampOf(*exchange->fingerprint)
-                        : Stamp();
+                        ? quarantine.SuspicionVersionOf(*exchange->fingerprint)
+                        : SuspicionVersion();
   const AttemptResult result = co_await forward_->Attempt(exchange, slot);
   if (!result.whole)
     co_return result;
--- a/sparbend/services/scheduler.cc
+++ b/sparbend/services/scheduler.cc
@@ -366,8 +366,9 @@
   Poke();
 }
 
-void Scheduler::OnRunEnded(const Fingerprint& request, Stamp stamp) {
-  node_.OnRunEnded(request, stamp, kernel_->Now());
+void Scheduler::OnTargetExit(const Fingerprint& request,
+                             SuspicionVersion stamp) {
+  node_.OnTargetExit(request, stamp, kernel_->Now());
   Poke();
 }
 
--- a/sparbend/services/scheduler.h
+++ b/sparbend/services/scheduler.h
@@ -64,7 +64,7 @@
   void SetEvacuatedHalls(const std::set<std::string>& halls, int64_t offset);
   void OnTargetLeaving(TargetId target);
   // A request sent at `stamp` was at a target when that ended.
-  void OnRunEnded(const Fingerprint& request, Stamp stamp);
+  void OnTargetExit(const Fingerprint& request, SuspicionVersion stamp);
   // Called when what this box is to write down of the quarantine may have
   // changed.
   void SetOnKeptChanged(std::function<void()> on_kept_changed) {
