--- a/daemon/main.cc
+++ b/daemon/main.cc
@@ -66,7 +66,7 @@
     kernel_.Register("forward", std::make_shared<Forward>(&kernel_, settings_));
     runner_ = std::make_shared<Runner>(&kernel_, settings_);
     kernel_.Register("runner", runner_);
-    front_ = std::make_shared<Front>(&kernel_, settings_, incarnation);
+    front_ = std::make_shared<Frontend>(&kernel_, settings_, incarnation);
     kernel_.Register("front", front_);
     admin_ = std::make_shared<Admin>(&kernel_, settings_, [this] { Drain(); });
     kernel_.Register("admin", admin_);
@@ -187,7 +187,7 @@
   asio::signal_set reloads_;
   std::shared_ptr<Scheduler> scheduler_;
   std::shared_ptr<Runner> runner_;
-  std::shared_ptr<Front> front_;
+  std::shared_ptr<Frontend> front_;
   std::shared_ptr<Admin> admin_;
   bool draining_ = false;
   int exit_code_ = 0;
--- a/sparbend/services/caller.cc
+++ b/sparbend/services/caller.cc
@@ -15,22 +15,24 @@
 }  // namespace
 
 // Outlives the Caller when the wait is still pending.
-struct Caller::WatchState {
+struct ClientStream::WatchState {
   bool active = true;
   std::function<void()> on_gone;
 };
 
-Caller::Caller(beast::tcp_stream* stream, bool keep_alive, Millis send_time)
+ClientStream::ClientStream(beast::tcp_stream* stream,
+                           bool keep_alive,
+                           Millis send_time)
     : stream_(stream),
       keep_alive_(keep_alive),
       send_time_(send_time),
       guard_(&stream->socket()) {}
 
-Caller::~Caller() {
+ClientStream::~ClientStream() {
   EndWatch();
 }
 
-void Caller::RenewExpiry() {
+void ClientStream::RenewExpiry() {
   const auto now = std::chrono::steady_clock::now();
   if (now - expiry_set_ < kExpiryStep)
     return;
@@ -38,7 +40,7 @@
   stream_->expires_after(std::chrono::milliseconds(send_time_.count()));
 }
 
-auto Caller::Answer(StringResponse response) -> asio::awaitable<bool> {
+auto ClientStream::Answer(StringResponse response) -> asio::awaitable<bool> {
   began_ = true;
   response.keep_alive(keep_alive_);
   response.prepare_payload();
@@ -50,7 +52,7 @@
   co_return !error;
 }
 
-auto Caller::Begin(const Header& header, std::optional<uint64_t> length)
+auto ClientStream::Begin(const Header& header, std::optional<uint64_t> length)
     -> asio::awaitable<bool> {
   began_ = true;
   answer_.base() = header;
@@ -71,7 +73,8 @@
   co_return !error;
 }
 
-auto Caller::Send(std::string_view piece, bool more) -> asio::awaitable<bool> {
+auto ClientStream::Send(std::string_view piece, bool more)
+    -> asio::awaitable<bool> {
   if (gone_ || !serializer_)
     co_return false;
   answer_.body().data = const_cast<char*>(piece.data());
@@ -90,7 +93,7 @@
   co_return !error;
 }
 
-void Caller::Watch(std::function<void()> on_gone) {
+void ClientStream::Watch(std::function<void()> on_gone) {
   watch_ = std::make_shared<WatchState>();
   watch_->on_gone = std::move(on_gone);
   stream_->socket().async_wait(
@@ -104,7 +107,7 @@
       });
 }
 
-void Caller::EndWatch() {
+void ClientStream::EndWatch() {
   if (!watch_ || !watch_->active)
     return;
   watch_->active = false;
--- a/sparbend/services/caller.h
+++ b/sparbend/services/caller.h
@@ -18,13 +18,13 @@
 inline constexpr std::string_view kVerdictField = "Sparbend-Verdict";
 inline constexpr std::string_view kRequestField = "Sparbend-Request";
 
-class Caller {
+class ClientStream {
  public:
   using Header = http::response_header<>;
 
   // `stream` must outlive this; `send_time` bounds one write.
-  Caller(beast::tcp_stream* stream, bool keep_alive, Millis send_time);
-  ~Caller();
+  ClientStream(beast::tcp_stream* stream, bool keep_alive, Millis send_time);
+  ~ClientStream();
 
   // Sends a whole answer of our own. False if the caller is gone.
   auto Answer(StringResponse response) -> asio::awaitable<bool>;
--- a/sparbend/services/crash_watch.cc
+++ b/sparbend/services/crash_watch.cc
@@ -21,7 +21,7 @@
   metrics_ = kernel_->Find<Metrics>("metrics");
 }
 
-void CrashWatch::OnBroken(Exchange* exchange,
+void CrashWatch::OnBroken(RequestContext* exchange,
                           const Slot& slot,
                           const Connection& connection) {
   // A planned end proves nothing.
--- a/sparbend/services/crash_watch.h
+++ b/sparbend/services/crash_watch.h
@@ -25,7 +25,7 @@
 
   // The connection ended, by no doing of this box, while the target of `slot`
   // had the request.
-  void OnBroken(Exchange* exchange,
+  void OnBroken(RequestContext* exchange,
                 const Slot& slot,
                 const Connection& connection);
   // Nobody listens at the target's address.
--- a/sparbend/services/dialect.h
+++ b/sparbend/services/dialect.h
@@ -20,14 +20,15 @@
 
   // Reads the head into `exchange`; the refusal for what may not go on. The
   // body is not read yet, `exchange->received` and `catalog` are set.
-  std::function<std::optional<Refusal>(const RequestHead&, Exchange*)>
+  std::function<std::optional<Refusal>(const RequestHead&, RequestContext*)>
       read_head;
   // Reads what only the whole `exchange->request` tells.
-  std::function<std::optional<Refusal>(Exchange*)> read_whole;
+  std::function<std::optional<Refusal>(RequestContext*)> read_whole;
   // The answer for a request that gets none from a target.
-  std::function<StringResponse(const Refusal&, const Exchange&)> refusal;
+  std::function<StringResponse(const Refusal&, const RequestContext&)> refusal;
   // Adds the product's own fields to a target's answer.
-  std::function<void(const Exchange&, http::response_header<>*)> dress_answer;
+  std::function<void(const RequestContext&, http::response_header<>*)>
+      dress_answer;
 };
 
 // What the head of an answer proves.
@@ -51,12 +52,13 @@
 struct TargetDialect : public Service {
   // The request to `slot`, body left out; the target may work for `left`.
   // `resume_after` is the id of the last event that the caller has, or empty.
-  std::function<StringRequest(const Exchange&,
+  std::function<StringRequest(const RequestContext&,
                               const Slot& slot,
                               Millis left,
                               const std::string& resume_after)>
       request_head;
-  std::function<AnswerFacts(const Exchange&, const http::response_header<>&)>
+  std::function<AnswerFacts(const RequestContext&,
+                            const http::response_header<>&)>
       read_answer;
 };
 
--- a/sparbend/services/exchange.cc
+++ b/sparbend/services/exchange.cc
@@ -2,7 +2,7 @@
 
 namespace sparbend {
 
-auto FingerprintOf(const Exchange& exchange) -> Fingerprint {
+auto FingerprintOf(const RequestContext& exchange) -> Fingerprint {
   const StringRequest& request = exchange.request;
   return FingerprintOf(exchange.workspace->number, request.method_string(),
                        request.target(), request.body());
--- a/sparbend/services/exchange.h
+++ b/sparbend/services/exchange.h
@@ -33,7 +33,7 @@
   std::string body;
 };
 
-struct Exchange {
+struct RequestContext {
   // Asked; fixed once accepted.
   RequestId id = 0;
   std::string request_id;  // for people and logs
@@ -59,7 +59,7 @@
   Millis first_byte_limit;  // an attempt without an answer ends; zero: none
 
   // Known so far.
-  Caller* caller = nullptr;
+  ClientStream* caller = nullptr;
   Verdict verdict = Verdict::kNotRun;
   int attempts = 0;
   int runs = 0;        // attempts that may have run
@@ -74,7 +74,7 @@
   std::function<void()> cancel;  // ends the attempt under way
 };
 
-auto FingerprintOf(const Exchange& exchange) -> Fingerprint;
+auto FingerprintOf(const RequestContext& exchange) -> Fingerprint;
 
 }  // namespace sparbend
 
--- a/sparbend/services/forward.cc
+++ b/sparbend/services/forward.cc
@@ -167,13 +167,13 @@
   crash_watch_ = kernel_->Find<CrashWatch>("crash-watch");
 }
 
-auto Forward::LongestRest(const Exchange& exchange) const -> Millis {
+auto Forward::LongestRest(const RequestContext& exchange) const -> Millis {
   if (exchange.progress.began)
     return Millis(0);
   return exchange.once ? settings_.once_rest_time : settings_.rest_time;
 }
 
-auto Forward::Connect(Exchange* exchange, const Slot& slot)
+auto Forward::Connect(RequestContext* exchange, const Slot& slot)
     -> asio::awaitable<Result<std::shared_ptr<Connection>>> {
   const Millis rest = LongestRest(*exchange);
   if (rest > Millis(0)) {
@@ -196,12 +196,13 @@
   co_return connection;
 }
 
-auto Forward::LongestSilence(const Exchange& exchange) const -> Millis {
+auto Forward::LongestSilence(const RequestContext& exchange) const -> Millis {
   const Millis left = exchange.deadline - kernel_->Now();
   return std::max(Millis(1), std::min(left, settings_.silence_time));
 }
 
-void Forward::RenewExpiry(const Exchange& exchange, Connection* connection) {
+void Forward::RenewExpiry(const RequestContext& exchange,
+                          Connection* connection) {
   Millis span = LongestSilence(exchange);
   // A repeatable request whose answer has not begun is better off elsewhere
   // while there is time.
@@ -211,7 +212,7 @@
   connection->expiry_set = kernel_->Now();
 }
 
-auto Forward::StartSending(Exchange* exchange,
+auto Forward::StartSending(RequestContext* exchange,
                            const Slot& slot,
                            const std::shared_ptr<Connection>& connection)
     -> std::shared_ptr<Sending> {
@@ -253,7 +254,7 @@
 
 // Reads heads until one is this request's. Answers that belong to earlier
 // requests are read and thrown away.
-auto Forward::ReadHead(const Exchange& exchange,
+auto Forward::ReadHead(const RequestContext& exchange,
                        const Slot& slot,
                        Connection* connection,
                        const Sending& sending,
@@ -304,7 +305,7 @@
                    TargetOutcome::kFailed);
 }
 
-auto Forward::ReadPiece(const Exchange& exchange,
+auto Forward::ReadPiece(const RequestContext& exchange,
                         Connection* connection,
                         Parser* parser,
                         std::span<char> piece,
@@ -350,7 +351,7 @@
   co_return error;
 }
 
-void Forward::Account(Exchange* exchange) {
+void Forward::Account(RequestContext* exchange) {
   const Pool& pool = *exchange->pool;
   if (pool.kind == PoolKind::kService) {
     exchange->tokens = pool.call_cost;
@@ -368,7 +369,7 @@
   exchange->tokens = input * pool.input_weight + output * pool.output_weight;
 }
 
-void Forward::NoteBytes(Exchange* exchange) {
+void Forward::NoteBytes(RequestContext* exchange) {
   scheduler_->OnBytes(exchange->id);
   if (exchange->first_byte > Millis(0))
     return;
@@ -379,7 +380,7 @@
 }
 
 // Sends on the whole events among what has come.
-auto Forward::RelayPiece(Exchange* exchange, std::string_view bytes)
+auto Forward::RelayPiece(RequestContext* exchange, std::string_view bytes)
     -> asio::awaitable<bool> {
   AnswerProgress& progress = exchange->progress;
   const int64_t held_from =
@@ -395,7 +396,7 @@
   co_return co_await exchange->caller->Send(ready, true);
 }
 
-auto Forward::RelayStream(Exchange* exchange,
+auto Forward::RelayStream(RequestContext* exchange,
                           Connection* connection,
                           Parser* parser) -> asio::awaitable<AttemptResult> {
   std::array<char, kPieceBytes> piece;
@@ -431,7 +432,7 @@
 
 // Answers that are no streams are read whole before the caller gets a byte,
 // so that a broken one can still be made good.
-auto Forward::RelayWhole(Exchange* exchange,
+auto Forward::RelayWhole(RequestContext* exchange,
                          Connection* connection,
                          Parser* parser) -> asio::awaitable<AttemptResult> {
   std::array<char, kPieceBytes> piece;
@@ -478,7 +479,7 @@
       failure ? TargetOutcome::kFailed : TargetOutcome::kGood};
 }
 
-auto Forward::SendFailed(Exchange* exchange) -> asio::awaitable<bool> {
+auto Forward::SendFailed(RequestContext* exchange) -> asio::awaitable<bool> {
   FailedAnswer& failed = *exchange->failed;
   caller_dialect_->dress_answer(*exchange, &failed.header);
   if (!co_await exchange->caller->Begin(failed.header, failed.body.size()))
@@ -488,7 +489,7 @@
   co_return co_await exchange->caller->Send({}, false);
 }
 
-auto Forward::ReadAnswer(Exchange* exchange,
+auto Forward::ReadAnswer(RequestContext* exchange,
                          const Slot& slot,
                          Connection* connection,
                          const Sending& sending)
@@ -540,7 +541,7 @@
   co_return result;
 }
 
-auto Forward::AttemptOnce(Exchange* exchange, const Slot& slot)
+auto Forward::AttemptOnce(RequestContext* exchange, const Slot& slot)
     -> asio::awaitable<AttemptResult> {
   const Result<std::shared_ptr<Connection>> connected =
       co_await Connect(exchange, slot);
@@ -590,7 +591,7 @@
   co_return result;
 }
 
-auto Forward::Attempt(Exchange* exchange, const Slot& slot)
+auto Forward::Attempt(RequestContext* exchange, const Slot& slot)
     -> asio::awaitable<AttemptResult> {
   AttemptResult result = co_await AttemptOnce(exchange, slot);
   // The same run may be taken up again where it still goes on.
--- a/sparbend/services/forward.h
+++ b/sparbend/services/forward.h
@@ -38,38 +38,40 @@
   // Makes one attempt. `exchange->tokens` grows with the service received;
   // `exchange->cancel` is set while it can be cut short. A failure of a
   // repeatable request is kept in `exchange->failed`, not sent on.
-  auto Attempt(Exchange* exchange, const Slot& slot)
+  auto Attempt(RequestContext* exchange, const Slot& slot)
       -> asio::awaitable<AttemptResult>;
   // Sends on the failure kept before.
-  auto SendFailed(Exchange* exchange) -> asio::awaitable<bool>;
+  auto SendFailed(RequestContext* exchange) -> asio::awaitable<bool>;
 
  private:
   using Parser = http::response_parser<http::buffer_body>;
   struct Sending;
 
-  auto Connect(Exchange* exchange, const Slot& slot)
+  auto Connect(RequestContext* exchange, const Slot& slot)
       -> asio::awaitable<Result<std::shared_ptr<Connection>>>;
-  auto StartSending(Exchange* exchange,
+  auto StartSending(RequestContext* exchange,
                     const Slot& slot,
                     const std::shared_ptr<Connection>& connection)
       -> std::shared_ptr<Sending>;
-  auto ReadHead(const Exchange& exchange,
+  auto ReadHead(const RequestContext& exchange,
                 const Slot& slot,
                 Connection* connection,
                 const Sending& sending,
                 std::unique_ptr<Parser>* parser,
                 AnswerFacts* facts) -> asio::awaitable<AttemptResult>;
-  auto ReadAnswer(Exchange* exchange,
+  auto ReadAnswer(RequestContext* exchange,
                   const Slot& slot,
                   Connection* connection,
                   const Sending& sending) -> asio::awaitable<AttemptResult>;
-  auto RelayWhole(Exchange* exchange, Connection* connection, Parser* parser)
-      -> asio::awaitable<AttemptResult>;
-  auto RelayStream(Exchange* exchange, Connection* connection, Parser* parser)
-      -> asio::awaitable<AttemptResult>;
-  auto RelayPiece(Exchange* exchange, std::string_view bytes)
+  auto RelayWhole(RequestContext* exchange,
+                  Connection* connection,
+                  Parser* parser) -> asio::awaitable<AttemptResult>;
+  auto RelayStream(RequestContext* exchange,
+                   Connection* connection,
+                   Parser* parser) -> asio::awaitable<AttemptResult>;
+  auto RelayPiece(RequestContext* exchange, std::string_view bytes)
       -> asio::awaitable<bool>;
-  auto ReadPiece(const Exchange& exchange,
+  auto ReadPiece(const RequestContext& exchange,
                  Connection* connection,
                  Parser* parser,
                  std::span<char> piece,
@@ -79,19 +81,19 @@
                   Parser* parser,
                   std::span<char> piece,
                   size_t* size) -> asio::awaitable<boost::system::error_code>;
-  auto AttemptOnce(Exchange* exchange, const Slot& slot)
+  auto AttemptOnce(RequestContext* exchange, const Slot& slot)
       -> asio::awaitable<AttemptResult>;
-  auto LongestRest(const Exchange& exchange) const -> Millis;
-  void NoteBytes(Exchange* exchange);
-  void Account(Exchange* exchange);
+  auto LongestRest(const RequestContext& exchange) const -> Millis;
+  void NoteBytes(RequestContext* exchange);
+  void Account(RequestContext* exchange);
   void NoteTarget(const Slot& slot, const AnswerFacts& facts);
   // Whether the target asked for no requests for now.
   auto BacksOff(const Slot& slot) const -> bool;
 
   // How long the target may be silent now.
-  auto LongestSilence(const Exchange& exchange) const -> Millis;
+  auto LongestSilence(const RequestContext& exchange) const -> Millis;
   // Gives the target until its silence is too long or the deadline passes.
-  void RenewExpiry(const Exchange& exchange, Connection* connection);
+  void RenewExpiry(const RequestContext& exchange, Connection* connection);
 
   Kernel* kernel_;
   Settings settings_;
--- a/sparbend/services/front.cc
+++ b/sparbend/services/front.cc
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-struct Front::Session {
+struct Frontend::Session {
   explicit Session(tcp::socket socket) : stream(std::move(socket)) {}
   beast::tcp_stream stream;
   beast::flat_buffer buffer;
@@ -56,12 +56,14 @@
   bool refused = false;  // its next request is, since it waited too long
 };
 
-Front::Front(Kernel* kernel, const Settings& settings, uint32_t incarnation)
+Frontend::Frontend(Kernel* kernel,
+                   const Settings& settings,
+                   uint32_t incarnation)
     : kernel_(kernel),
       settings_(settings),
       id_prefix_(settings.name + "-" + ToHex(incarnation) + "-") {}
 
-void Front::Start() {
+void Frontend::Start() {
   config_ = kernel_->Find<CatalogSource>("config");
   dialect_ = kernel_->Find<CallerDialect>("caller-dialect");
   scheduler_ = kernel_->Find<Scheduler>("scheduler");
@@ -86,12 +88,12 @@
   kernel_->Spawn("front-accept", accepting_->Run());
 }
 
-void Front::Stop() {
+void Frontend::Stop() {
   if (accepting_)
     accepting_->Close();
 }
 
-void Front::Drain() {
+void Frontend::Drain() {
   leaving_ = true;
   draining_ = true;
   Stop();
@@ -101,7 +103,7 @@
 }
 
 // The configuration's limits where it sets them, else the settings'.
-auto Front::limits() const -> CallerLimits {
+auto Frontend::limits() const -> CallerLimits {
   const CallerLimits& declared = config_->catalog()->limits();
   CallerLimits limits;
   limits.header_bytes = declared.header_bytes > 0 ? declared.header_bytes
@@ -116,11 +118,11 @@
   return limits;
 }
 
-auto Front::address() const -> std::string {
+auto Frontend::address() const -> std::string {
   return accepting_->address();
 }
 
-auto Front::MayTake(size_t waiting) -> bool {
+auto Frontend::MayTake(size_t waiting) -> bool {
   const int64_t held = connections_ + static_cast<int64_t>(waiting);
   if (held < settings_.connections)
     return true;
@@ -130,12 +132,12 @@
   return false;
 }
 
-auto Front::Serve(tcp::socket socket) -> asio::awaitable<void> {
+auto Frontend::Serve(tcp::socket socket) -> asio::awaitable<void> {
   Session session(std::move(socket));
   co_await ServeAll(&session);
 }
 
-auto Front::ServeRefused(tcp::socket socket, std::string arrived)
+auto Frontend::ServeRefused(tcp::socket socket, std::string arrived)
     -> asio::awaitable<void> {
   Session session(std::move(socket));
   session.refused = true;
@@ -145,7 +147,7 @@
   co_await ServeAll(&session);
 }
 
-auto Front::ServeAll(Session* session) -> asio::awaitable<void> {
+auto Frontend::ServeAll(Session* session) -> asio::awaitable<void> {
   ++connections_;
   boost::system::error_code ignored;
   session->stream.socket().set_option(tcp::no_delay(true), ignored);
@@ -157,7 +159,7 @@
 
 // What is refused here counts as asked: else a workspace whose callers reach a
 // box that is behind is taken to ask for little, and nobody yields to it.
-auto Front::BehindWork(const Exchange& exchange) -> Refusal {
+auto Frontend::BehindWork(const RequestContext& exchange) -> Refusal {
   if (exchange.pool != nullptr)
     scheduler_->node().ingress_scheduler().Deny(
         {PoolIdOf(exchange.pool->name), exchange.workspace->number},
@@ -168,9 +170,9 @@
 // A caller that has waited for too long is told so from what it has sent,
 // without a coroutine or a look at the body. One whose request is still on its
 // way, or that waits for leave to send its body, is read to its end first.
-void Front::RefuseUnread(tcp::socket socket, Millis waited) {
+void Frontend::RefuseUnread(tcp::socket socket, Millis waited) {
   const Arrived arrived = ReadArrived(&socket);
-  Exchange exchange;
+  RequestContext exchange;
   AssignId(&exchange);
   switch (arrived.kind) {
     case Arrived::Kind::kNothing:
@@ -195,9 +197,9 @@
     metrics_->caller_left.Increment();
 }
 
-void Front::NoteRefusal(const Exchange& exchange,
-                        const Refusal& refusal,
-                        Millis waited) {
+void Frontend::NoteRefusal(const RequestContext& exchange,
+                           const Refusal& refusal,
+                           Millis waited) {
   Log(LogLevel::kInfo, "request-refused",
       {{"request", exchange.request_id},
        {"caller_id", exchange.caller_id},
@@ -211,17 +213,18 @@
   metrics_->CountAnswer(refusal.status, ToString(refusal.verdict));
 }
 
-auto Front::Refuse(Caller* caller,
-                   const Exchange& exchange,
-                   const Refusal& refusal) -> asio::awaitable<bool> {
+auto Frontend::Refuse(ClientStream* caller,
+                      const RequestContext& exchange,
+                      const Refusal& refusal) -> asio::awaitable<bool> {
   NoteRefusal(exchange, refusal, /*waited=*/Millis(0));
   co_return co_await caller->Answer(dialect_->refusal(refusal, exchange));
 }
 
-auto Front::RefuseEarly(Session* session,
-                        const Exchange& exchange,
-                        const Refusal& refusal) -> asio::awaitable<bool> {
-  Caller caller(&session->stream, /*keep_alive=*/false, settings_.send_time);
+auto Frontend::RefuseEarly(Session* session,
+                           const RequestContext& exchange,
+                           const Refusal& refusal) -> asio::awaitable<bool> {
+  ClientStream caller(&session->stream, /*keep_alive=*/false,
+                      settings_.send_time);
   co_await Refuse(&caller, exchange, refusal);
   // The rest of the request is unread; closing now could reset the answer
   // before the caller has it, so the sending side goes first.
@@ -241,7 +244,7 @@
 }
 
 // Waits for the first byte of a request; false when there will be none.
-auto Front::WaitForRequest(Session* session) -> asio::awaitable<bool> {
+auto Frontend::WaitForRequest(Session* session) -> asio::awaitable<bool> {
   if (session->buffer.size() != 0)
     co_return true;
   session->stream.expires_after(
@@ -254,7 +257,7 @@
   co_return !error;
 }
 
-auto Front::ReadHeader(Session* session, Parser* parser)
+auto Frontend::ReadHeader(Session* session, Parser* parser)
     -> asio::awaitable<std::optional<Refusal>> {
   if (!co_await WaitForRequest(session)) {
     session->closed = true;
@@ -274,7 +277,7 @@
   co_return refusal;
 }
 
-auto Front::ReadBody(Session* session, Parser* parser)
+auto Frontend::ReadBody(Session* session, Parser* parser)
     -> asio::awaitable<std::optional<Refusal>> {
   if (parser->get()[http::field::expect] == "100-continue") {
     http::response<http::empty_body> proceed(http::status::continue_, 11);
@@ -295,26 +298,27 @@
 
 // A box that fell behind reads requests whose callers have given up; running
 // them would only keep it behind.
-auto Front::CallerLeft(Session& session, const Exchange& exchange) -> bool {
+auto Frontend::CallerLeft(Session& session, const RequestContext& exchange)
+    -> bool {
   if (PeekSocket(session.stream.socket()) != SocketState::kClosed)
     return false;
   NoteCallerLeft(exchange);
   return true;
 }
 
-void Front::NoteCallerLeft(const Exchange& exchange) {
+void Frontend::NoteCallerLeft(const RequestContext& exchange) {
   metrics_->caller_left.Increment();
   Log(LogLevel::kInfo, "caller-left-unheard",
       {{"request", exchange.request_id}, {"caller_id", exchange.caller_id}});
 }
 
-void Front::AssignId(Exchange* exchange) {
+void Frontend::AssignId(RequestContext* exchange) {
   exchange->id = next_id_++;
   exchange->request_id = id_prefix_ + std::to_string(exchange->id);
 }
 
-auto Front::CheckHeader(const http::request_header<>& head, Exchange* exchange)
-    -> std::optional<Refusal> {
+auto Frontend::CheckHeader(const http::request_header<>& head,
+                           RequestContext* exchange) -> std::optional<Refusal> {
   exchange->received = kernel_->Now();
   if (!config_->ready())
     return NotRun(503, config_->why_not_ready(), kRetryAfterStart);
@@ -328,8 +332,8 @@
   return scheduler_->node().ingress_scheduler().WhyFull(*exchange->workspace);
 }
 
-auto Front::ServeOne(Session* session) -> asio::awaitable<bool> {
-  Exchange exchange;
+auto Frontend::ServeOne(Session* session) -> asio::awaitable<bool> {
+  RequestContext exchange;
   AssignId(&exchange);
   Parser parser;
   std::optional<Refusal> refusal = co_await ReadHeader(session, &parser);
@@ -351,7 +355,7 @@
     co_return false;
   const bool keep_alive = parser.get().keep_alive() && !session->refused &&
                           !leaving_ && !scheduler_->overload().busy();
-  Caller caller(&session->stream, keep_alive, settings_.send_time);
+  ClientStream caller(&session->stream, keep_alive, settings_.send_time);
   exchange.caller = &caller;
   exchange.request = parser.release();
   if (!refusal)
--- a/sparbend/services/front.h
+++ b/sparbend/services/front.h
@@ -19,9 +19,9 @@
 
 namespace sparbend {
 
-class Front : public Service {
+class Frontend : public Service {
  public:
-  Front(Kernel* kernel, const Settings& settings, uint32_t incarnation);
+  Frontend(Kernel* kernel, const Settings& settings, uint32_t incarnation);
 
   void Start() override;
   void Stop() override;
@@ -45,7 +45,7 @@
   void RefuseUnread(tcp::socket socket, Millis waited);
   // The refusal of a request whose workspace is known, by a box that is behind
   // its work.
-  auto BehindWork(const Exchange& exchange) -> Refusal;
+  auto BehindWork(const RequestContext& exchange) -> Refusal;
   // Serves a connection whose first request is refused; `arrived` was read of
   // it already.
   auto ServeRefused(tcp::socket socket, std::string arrived)
@@ -56,20 +56,21 @@
       -> asio::awaitable<std::optional<Refusal>>;
   auto ReadBody(Session* session, Parser* parser)
       -> asio::awaitable<std::optional<Refusal>>;
-  void NoteCallerLeft(const Exchange& exchange);
-  auto CallerLeft(Session& session, const Exchange& exchange) -> bool;
-  void AssignId(Exchange* exchange);
-  auto CheckHeader(const http::request_header<>& head, Exchange* exchange)
+  void NoteCallerLeft(const RequestContext& exchange);
+  auto CallerLeft(Session& session, const RequestContext& exchange) -> bool;
+  void AssignId(RequestContext* exchange);
+  auto CheckHeader(const http::request_header<>& head, RequestContext* exchange)
       -> std::optional<Refusal>;
   auto RefuseEarly(Session* session,
-                   const Exchange& exchange,
+                   const RequestContext& exchange,
                    const Refusal& refusal) -> asio::awaitable<bool>;
   // `waited`: for how long the caller was connected before it was read.
-  void NoteRefusal(const Exchange& exchange,
+  void NoteRefusal(const RequestContext& exchange,
                    const Refusal& refusal,
                    Millis waited);
-  auto Refuse(Caller* caller, const Exchange& exchange, const Refusal& refusal)
-      -> asio::awaitable<bool>;
+  auto Refuse(ClientStream* caller,
+              const RequestContext& exchange,
+              const Refusal& refusal) -> asio::awaitable<bool>;
   auto WaitForRequest(Session* session) -> asio::awaitable<bool>;
   auto limits() const -> CallerLimits;
 
--- a/sparbend/services/own_dialect.cc
+++ b/sparbend/services/own_dialect.cc
@@ -25,7 +25,7 @@
 
 auto ReadHead(const Settings& settings,
               const http::request_header<>& head,
-              Exchange* exchange) -> std::optional<Refusal> {
+              RequestContext* exchange) -> std::optional<Refusal> {
   const std::string_view authorization = head[http::field::authorization];
   if (!authorization.starts_with(kBearer))
     return NotRun(401, "no API key: send Authorization: Bearer KEY");
@@ -42,7 +42,7 @@
   return std::nullopt;
 }
 
-auto ReadWhole(Exchange* exchange) -> std::optional<Refusal> {
+auto ReadWhole(RequestContext* exchange) -> std::optional<Refusal> {
   const RouteInput input = {
       exchange->request.method_string(), exchange->request.target(),
       exchange->request.body(), exchange->request[std::string(kOnceField)]};
@@ -70,7 +70,7 @@
   }
 }
 
-auto RequestHead(const Exchange& exchange,
+auto RequestHead(const RequestContext& exchange,
                  const Slot& slot,
                  const std::string& resume_after) -> StringRequest {
   StringRequest request(exchange.request.method(), exchange.request.target(),
@@ -128,14 +128,15 @@
     -> std::shared_ptr<CallerDialect> {
   auto dialect = std::make_shared<CallerDialect>();
   dialect->read_head = [settings](const http::request_header<>& head,
-                                  Exchange* exchange) {
+                                  RequestContext* exchange) {
     return ReadHead(settings, head, exchange);
   };
   dialect->read_whole = ReadWhole;
-  dialect->refusal = [](const Refusal& refusal, const Exchange& exchange) {
+  dialect->refusal = [](const Refusal& refusal,
+                        const RequestContext& exchange) {
     return ProblemResponse(refusal, exchange.request_id);
   };
-  dialect->dress_answer = [](const Exchange& exchange,
+  dialect->dress_answer = [](const RequestContext& exchange,
                              http::response_header<>* header) {
     header->set(std::string(kRequestField), exchange.request_id);
     header->set(std::string(kVerdictField), ToString(Verdict::kRan));
@@ -145,11 +146,11 @@
 
 auto MakeOwnTargetDialect() -> std::shared_ptr<TargetDialect> {
   auto dialect = std::make_shared<TargetDialect>();
-  dialect->request_head = [](const Exchange& exchange, const Slot& slot,
+  dialect->request_head = [](const RequestContext& exchange, const Slot& slot,
                              Millis /*left*/, const std::string& resume_after) {
     return RequestHead(exchange, slot, resume_after);
   };
-  dialect->read_answer = [](const Exchange& /*exchange*/,
+  dialect->read_answer = [](const RequestContext& /*exchange*/,
                             const http::response_header<>& header) {
     return ReadAnswer(header);
   };
--- a/sparbend/services/runner.cc
+++ b/sparbend/services/runner.cc
@@ -22,7 +22,7 @@
 // What is left to a request below which another attempt is of no use.
 constexpr Millis kLeastTimeLeft = Millis(20);
 
-auto QueuedFrom(const Exchange& exchange) -> QueuedRequest {
+auto QueuedFrom(const RequestContext& exchange) -> QueuedRequest {
   QueuedRequest queued;
   queued.id = exchange.id;
   queued.flow = {PoolIdOf(exchange.pool->name), exchange.workspace->number};
@@ -35,7 +35,7 @@
 }
 
 // How long before this try its caller first asked, as far as is known.
-auto AskedBefore(const Exchange& exchange) -> Millis {
+auto AskedBefore(const RequestContext& exchange) -> Millis {
   const WorkFacts& work = exchange.work;
   return work.objective > Millis(0)
              ? exchange.received + work.objective - work.first_byte_due
@@ -55,7 +55,7 @@
   dialect_ = kernel_->Find<CallerDialect>("caller-dialect");
 }
 
-void Runner::OnCallerGone(Exchange* exchange) {
+void Runner::OnCallerGone(RequestContext* exchange) {
   metrics_->caller_left.Increment();
   scheduler_->Abandon(exchange->id);
   // Work that may not be repeated is left to finish, where that is wanted.
@@ -64,7 +64,7 @@
     exchange->cancel();
 }
 
-void Runner::CountFresh(const Exchange& exchange) {
+void Runner::CountFresh(const RequestContext& exchange) {
   if (settings_.retry_limits.window <= Millis(0)) {
     budgets_[exchange.workspace->name].OnFresh();
     return;
@@ -74,7 +74,7 @@
   budget->second.OnFresh(kernel_->Now());
 }
 
-auto Runner::TakeBudget(const Exchange& exchange) -> bool {
+auto Runner::TakeBudget(const RequestContext& exchange) -> bool {
   bool taken = false;
   if (settings_.retry_limits.window <= Millis(0)) {
     taken = budgets_[exchange.workspace->name].Take();
@@ -91,7 +91,7 @@
 
 // A request that is never suspected costs no digest: nothing is remembered most
 // of the time, and then bodies are looked at on suspected paths alone.
-void Runner::Identify(Exchange* exchange) {
+void Runner::Identify(RequestContext* exchange) {
   const Quarantine& quarantine = scheduler_->node().quarantine();
   if (exchange->fingerprint || quarantine.empty())
     return;
@@ -102,7 +102,8 @@
     exchange->fingerprint = FingerprintOf(*exchange);
 }
 
-auto Runner::WhyQuarantined(Exchange* exchange) -> std::optional<Refusal> {
+auto Runner::WhyQuarantined(RequestContext* exchange)
+    -> std::optional<Refusal> {
   Identify(exchange);
   if (!exchange->fingerprint)
     return std::nullopt;
@@ -123,7 +124,7 @@
                  "the list of targets is out of date", kRetryAfterFailure};
 }
 
-auto Runner::Attempt(Exchange* exchange, const Slot& slot)
+auto Runner::Attempt(RequestContext* exchange, const Slot& slot)
     -> asio::awaitable<AttemptResult> {
   Quarantine& quarantine = scheduler_->node().quarantine();
   exchange->stamp = exchange->fingerprint
@@ -138,8 +139,8 @@
   co_return result;
 }
 
-auto Runner::MayTryAgain(const Exchange& exchange, const AttemptResult& result)
-    -> bool {
+auto Runner::MayTryAgain(const RequestContext& exchange,
+                         const AttemptResult& result) -> bool {
   const AnswerProgress& progress = exchange.progress;
   const bool can_go_on =
       exchange.resumable && !progress.meter.last_event_id().empty();
@@ -158,8 +159,8 @@
   return !result.arrived || TakeBudget(exchange);
 }
 
-auto Runner::FinalRefusal(const Exchange& exchange, const AttemptResult& result)
-    -> Refusal {
+auto Runner::FinalRefusal(const RequestContext& exchange,
+                          const AttemptResult& result) -> Refusal {
   const bool ran_nowhere = exchange.verdict == Verdict::kNotRun;
   if (kernel_->Now() + kLeastTimeLeft >= exchange.deadline)
     return {kGatewayTimeout, exchange.verdict, "its time ran out",
@@ -168,7 +169,7 @@
           result.problem, kRetryAfterFailure};
 }
 
-void Runner::LogSent(const Exchange& exchange, const Slot& slot) {
+void Runner::LogSent(const RequestContext& exchange, const Slot& slot) {
   Log(LogLevel::kInfo, "request-sent",
       {{"request", exchange.request_id},
        {"caller_id", exchange.caller_id},
@@ -191,7 +192,7 @@
        {"in_time", slot.choice.in_time}});
 }
 
-void Runner::LogFailed(const Exchange& exchange,
+void Runner::LogFailed(const RequestContext& exchange,
                        const Slot& slot,
                        const AttemptResult& result) {
   Log(LogLevel::kWarning, "attempt-failed",
@@ -206,7 +207,7 @@
        {"after_ms", (kernel_->Now() - exchange.received).count()}});
 }
 
-auto Runner::Attempts(Exchange* exchange) -> asio::awaitable<Refusal> {
+auto Runner::Attempts(RequestContext* exchange) -> asio::awaitable<Refusal> {
   // Sent on, it would end one target after the other, with all that runs there.
   if (const std::optional<Refusal> refused = WhyQuarantined(exchange))
     co_return *refused;
@@ -253,7 +254,7 @@
   }
 }
 
-auto Runner::ClaimKey(const Exchange& exchange)
+auto Runner::ClaimKey(const RequestContext& exchange)
     -> asio::awaitable<std::optional<Refusal>> {
   if (const auto why = WhyKeyRefused(exchange.idempotency_key, WallClock()))
     co_return Refusal{kBadRequest, Verdict::kNotRun, *why, Millis(0)};
@@ -273,7 +274,7 @@
 
 // The request's fate, with its key claimed before and, if nothing was sent,
 // released after.
-auto Runner::Settle(Exchange* exchange) -> asio::awaitable<Refusal> {
+auto Runner::Settle(RequestContext* exchange) -> asio::awaitable<Refusal> {
   const bool keyed = exchange->once && !exchange->idempotency_key.empty();
   if (!keyed)
     co_return co_await Attempts(exchange);
@@ -287,13 +288,13 @@
   co_return final;
 }
 
-auto Runner::Run(Exchange* exchange) -> asio::awaitable<void> {
+auto Runner::Run(RequestContext* exchange) -> asio::awaitable<void> {
   ++active_;
   co_await RunCounted(exchange);
   --active_;
 }
 
-void Runner::LogEnd(const Exchange& exchange, const Refusal& final) {
+void Runner::LogEnd(const RequestContext& exchange, const Refusal& final) {
   Log(LogLevel::kInfo,
       final.status == 200 ? "request-answered" : "request-refused",
       {{"request", exchange.request_id},
@@ -313,9 +314,9 @@
        {"took_ms", (kernel_->Now() - exchange.received).count()}});
 }
 
-auto Runner::Deliver(Exchange* exchange, const Refusal& final)
+auto Runner::Deliver(RequestContext* exchange, const Refusal& final)
     -> asio::awaitable<void> {
-  Caller& caller = *exchange->caller;
+  ClientStream& caller = *exchange->caller;
   // Once an answer has begun, the truth is told by not ending it.
   if (final.status == 200 || caller.began() || caller.gone())
     co_return;
@@ -325,8 +326,8 @@
     co_await caller.Answer(dialect_->refusal(final, *exchange));
 }
 
-auto Runner::RunCounted(Exchange* exchange) -> asio::awaitable<void> {
-  Caller& caller = *exchange->caller;
+auto Runner::RunCounted(RequestContext* exchange) -> asio::awaitable<void> {
+  ClientStream& caller = *exchange->caller;
   caller.Watch([this, exchange] { OnCallerGone(exchange); });
   const Refusal final = co_await Settle(exchange);
   caller.EndWatch();
--- a/sparbend/services/runner.h
+++ b/sparbend/services/runner.h
@@ -27,39 +27,39 @@
 
   // Runs `exchange` to its end: when this returns the caller has its whole
   // answer or refusal, or its connection must be closed.
-  auto Run(Exchange* exchange) -> asio::awaitable<void>;
+  auto Run(RequestContext* exchange) -> asio::awaitable<void>;
 
   // Requests being run, for draining.
   auto active() const -> size_t { return active_; }
 
  private:
-  auto RunCounted(Exchange* exchange) -> asio::awaitable<void>;
-  auto Attempts(Exchange* exchange) -> asio::awaitable<Refusal>;
-  auto ClaimKey(const Exchange& exchange)
+  auto RunCounted(RequestContext* exchange) -> asio::awaitable<void>;
+  auto Attempts(RequestContext* exchange) -> asio::awaitable<Refusal>;
+  auto ClaimKey(const RequestContext& exchange)
       -> asio::awaitable<std::optional<Refusal>>;
-  auto Settle(Exchange* exchange) -> asio::awaitable<Refusal>;
-  auto MayTryAgain(const Exchange& exchange, const AttemptResult& result)
+  auto Settle(RequestContext* exchange) -> asio::awaitable<Refusal>;
+  auto MayTryAgain(const RequestContext& exchange, const AttemptResult& result)
       -> bool;
-  auto TakeBudget(const Exchange& exchange) -> bool;
+  auto TakeBudget(const RequestContext& exchange) -> bool;
   // Gives the request its fingerprint if one like it is under suspicion.
-  void Identify(Exchange* exchange);
+  void Identify(RequestContext* exchange);
   // Why nothing is to be sent, if a target in the list may have left and ended
   // by the time a request arrives.
   auto WhyListTooOld() -> std::optional<Refusal>;
   // Why it is not to be sent, if targets ended under it.
-  auto WhyQuarantined(Exchange* exchange) -> std::optional<Refusal>;
-  auto Attempt(Exchange* exchange, const Slot& slot)
+  auto WhyQuarantined(RequestContext* exchange) -> std::optional<Refusal>;
+  auto Attempt(RequestContext* exchange, const Slot& slot)
       -> asio::awaitable<AttemptResult>;
-  void CountFresh(const Exchange& exchange);
-  auto Deliver(Exchange* exchange, const Refusal& final)
+  void CountFresh(const RequestContext& exchange);
+  auto Deliver(RequestContext* exchange, const Refusal& final)
       -> asio::awaitable<void>;
-  void LogSent(const Exchange& exchange, const Slot& slot);
-  void LogFailed(const Exchange& exchange,
+  void LogSent(const RequestContext& exchange, const Slot& slot);
+  void LogFailed(const RequestContext& exchange,
                  const Slot& slot,
                  const AttemptResult& result);
-  void LogEnd(const Exchange& exchange, const Refusal& final);
-  void OnCallerGone(Exchange* exchange);
-  auto FinalRefusal(const Exchange& exchange, const AttemptResult& result)
+  void LogEnd(const RequestContext& exchange, const Refusal& final);
+  void OnCallerGone(RequestContext* exchange);
+  auto FinalRefusal(const RequestContext& exchange, const AttemptResult& result)
       -> Refusal;
 
   Kernel* kernel_;
