--- a/sparbend/core/intake.cc
+++ b/sparbend/core/intake.cc
@@ -29,12 +29,12 @@
 
 }  // namespace
 
-auto Intake::Add(Millis now) -> uint64_t {
+auto AcceptQueue::Add(Millis now) -> uint64_t {
   waiting_.push_back({next_, now});
   return next_++;
 }
 
-auto Intake::NextTurn(Millis now) -> Turn {
+auto AcceptQueue::NextTurn(Millis now) -> Turn {
   Turn turn;
   while (longest_wait(now) >= kMostWait &&
          turn.refuse.size() < kRefusedInATurn) {
@@ -48,7 +48,7 @@
   return turn;
 }
 
-auto Intake::longest_wait(Millis now) const -> Millis {
+auto AcceptQueue::longest_wait(Millis now) const -> Millis {
   return waiting_.empty() ? Millis(0) : now - waiting_.front().since;
 }
 
--- a/sparbend/core/intake.h
+++ b/sparbend/core/intake.h
@@ -16,7 +16,7 @@
 
 namespace sparbend {
 
-class Intake {
+class AcceptQueue {
  public:
   // What is to be done in one turn of the box's loop.
   struct Turn {
--- a/sparbend/core/intake_test.cc
+++ b/sparbend/core/intake_test.cc
@@ -20,7 +20,7 @@
 namespace sparbend {
 namespace {
 
-TEST_GROUP(Intake){};
+TEST_GROUP(AcceptQueue){};
 
 // One box of an eighth of a core, with a clock of its own in microseconds. Wall
 // time of each step of work, at that share of a core:
@@ -135,7 +135,7 @@
     now_ += kTurnUs;
     Arrive();
     TakeIn();
-    const Intake::Turn turn = intake_.NextTurn(Now());
+    const AcceptQueue::Turn turn = intake_.NextTurn(Now());
     for (const uint64_t caller : turn.serve)
       Serve(came_.at(caller));
     for (const uint64_t caller : turn.refuse)
@@ -146,7 +146,7 @@
   Load load_;
   double now_ = 0;
   double next_ = 0;
-  Intake intake_;
+  AcceptQueue intake_;
   std::deque<double> queue_;         // when callers came
   std::map<uint64_t, double> came_;  // of those taken in
   std::deque<double> streams_;       // when each began
@@ -163,7 +163,7 @@
   LONGS_EQUAL_TEXT(0, fate.late_after_flood, load.what);
 }
 
-TEST(Intake, CallersAreServedOrToldInTimeHoweverManyCome) {
+TEST(AcceptQueue, CallersAreServedOrToldInTimeHoweverManyCome) {
   const Load loads[] = {
       {"all can be served", 0, 100, 100, 1, 1},
       {"a little more than can be served", 0, 100, 240, 0.8, 0.99},
@@ -187,21 +187,21 @@
 }
 
 // Whatever comes, and however long the turns are.
-TEST(Intake, EachCallerIsDealtWithOnceAndTheNewestServedFirst) {
+TEST(AcceptQueue, EachCallerIsDealtWithOnceAndTheNewestServedFirst) {
   constexpr int kSeeds = 200;
   constexpr int kTurns = 300;
   for (int seed = 1; seed <= kSeeds; ++seed) {
     std::mt19937 random(static_cast<unsigned>(seed));
     std::uniform_int_distribution<int> arrivals(0, 1 + seed % 9 * seed % 50);
     std::uniform_int_distribution<int> span(0, 1 + seed % 40);
-    Intake intake;
+    AcceptQueue intake;
     Millis now(seed);
     std::map<uint64_t, Millis> waiting;  // the oracle's: since when
     for (int turn = 0; turn < kTurns; ++turn) {
       now = now + Millis(span(random));
       for (int i = arrivals(random); i > 0; --i)
         CHECK(waiting.emplace(intake.Add(now), now).second);
-      const Intake::Turn done = intake.NextTurn(now);
+      const AcceptQueue::Turn done = intake.NextTurn(now);
       for (const uint64_t caller : done.refuse)
         LONGS_EQUAL(1, waiting.erase(caller));
       for (const uint64_t caller : done.serve) {
--- a/sparbend/services/accepting.cc
+++ b/sparbend/services/accepting.cc
@@ -20,15 +20,15 @@
 
 }  // namespace
 
-Accepting::Accepting(Kernel* kernel,
-                     std::shared_ptr<Metrics> metrics,
-                     AcceptingHooks hooks)
+ClientAcceptor::ClientAcceptor(Kernel* kernel,
+                               std::shared_ptr<Metrics> metrics,
+                               AcceptingHooks hooks)
     : kernel_(kernel),
       metrics_(std::move(metrics)),
       hooks_(std::move(hooks)),
       acceptor_(kernel->io()) {}
 
-auto Accepting::Listen(const tcp::endpoint& endpoint) -> std::error_code {
+auto ClientAcceptor::Listen(const tcp::endpoint& endpoint) -> std::error_code {
   std::error_code error;
   acceptor_ = OpenAcceptor(kernel_->io(), endpoint, &error);
   boost::system::error_code ignored;
@@ -36,20 +36,20 @@
   return error;
 }
 
-auto Accepting::address() const -> std::string {
+auto ClientAcceptor::address() const -> std::string {
   boost::system::error_code error;
   return FormatAddress(acceptor_.local_endpoint(error));
 }
 
 // What waits in the listen queue is taken in first: closing that would reset
 // callers that have been heard by nobody.
-void Accepting::Close() {
+void ClientAcceptor::Close() {
   TakeAll();
   boost::system::error_code ignored;
   acceptor_.close(ignored);
 }
 
-auto Accepting::Run() -> asio::awaitable<void> {
+auto ClientAcceptor::Run() -> asio::awaitable<void> {
   while (acceptor_.is_open()) {
     if (intake_.size() != 0) {
       co_await asio::post(asio::use_awaitable);
@@ -73,14 +73,14 @@
     Refuse(waiting_.begin()->first);
 }
 
-void Accepting::Take(tcp::socket socket) {
+void ClientAcceptor::Take(tcp::socket socket) {
   if (!hooks_.may_take(intake_.size()))
     return;  // closed unread: the caller tries another box at once
   const Millis now = kernel_->Now();
   waiting_.emplace(intake_.Add(now), Waiting{std::move(socket), now});
 }
 
-void Accepting::TakeAll() {
+void ClientAcceptor::TakeAll() {
   for (int taken = 0; taken < kMostTakenInATurn; ++taken) {
     tcp::socket next(acceptor_.get_executor());
     boost::system::error_code error;
@@ -91,26 +91,26 @@
   }
 }
 
-void Accepting::Serve(uint64_t caller) {
+void ClientAcceptor::Serve(uint64_t caller) {
   auto waiting = waiting_.extract(caller);
   hooks_.serve(std::move(waiting.mapped().socket));
 }
 
-void Accepting::Refuse(uint64_t caller) {
+void ClientAcceptor::Refuse(uint64_t caller) {
   auto waiting = waiting_.extract(caller);
   const Millis waited = kernel_->Now() - waiting.mapped().since;
   hooks_.refuse(std::move(waiting.mapped().socket), waited);
 }
 
-void Accepting::ServeTurn() {
-  const Intake::Turn turn = intake_.NextTurn(kernel_->Now());
+void ClientAcceptor::ServeTurn() {
+  const AcceptQueue::Turn turn = intake_.NextTurn(kernel_->Now());
   for (const uint64_t caller : turn.serve)
     Serve(caller);
   for (const uint64_t caller : turn.refuse)
     Refuse(caller);
 }
 
-void Accepting::NoteWaiting() {
+void ClientAcceptor::NoteWaiting() {
   const Millis now = kernel_->Now();
   const Millis longest = intake_.longest_wait(now);
   if (longest < kLongWait || now - noted_ < kNoteInterval)
--- a/sparbend/services/accepting.h
+++ b/sparbend/services/accepting.h
@@ -30,11 +30,11 @@
   std::function<void(tcp::socket, Millis waited)> refuse;
 };
 
-class Accepting {
+class ClientAcceptor {
  public:
-  Accepting(Kernel* kernel,
-            std::shared_ptr<Metrics> metrics,
-            AcceptingHooks hooks);
+  ClientAcceptor(Kernel* kernel,
+                 std::shared_ptr<Metrics> metrics,
+                 AcceptingHooks hooks);
 
   auto Listen(const tcp::endpoint& endpoint) -> std::error_code;
   // Runs until Close; then all that were taken in are refused.
@@ -59,7 +59,7 @@
   std::shared_ptr<Metrics> metrics_;
   AcceptingHooks hooks_;
   tcp::acceptor acceptor_;
-  Intake intake_;
+  AcceptQueue intake_;
   std::unordered_map<uint64_t, Waiting> waiting_;  // by the intake's number
   Millis noted_;
 };
--- a/sparbend/services/declarations.cc
+++ b/sparbend/services/declarations.cc
@@ -45,7 +45,7 @@
       rare_looks_(StableHash(settings.name), kRareLooks) {}
 
 void Declarations::Start() {
-  feed_ = kernel_->Find<DeclarationFeed>("declarations-feed");
+  feed_ = kernel_->Find<DeclarationSource>("declarations-feed");
   scheduler_ = kernel_->Find<Scheduler>("scheduler");
   peers_ = kernel_->Find<Peers>("peers");
   directory_ = kernel_->Find<Directory>("directory");
@@ -174,7 +174,7 @@
 }
 
 auto Declarations::FollowStore() -> asio::awaitable<void> {
-  FeedReader reader(feed_->log);
+  KeyedLogReader reader(feed_->log);
   Millis looked;
   while (true) {
     const Millis now = kernel_->Now();
--- a/sparbend/services/declarations.h
+++ b/sparbend/services/declarations.h
@@ -48,7 +48,7 @@
 
   Kernel* kernel_;
   Settings settings_;
-  std::shared_ptr<DeclarationFeed> feed_;
+  std::shared_ptr<DeclarationSource> feed_;
   std::shared_ptr<Scheduler> scheduler_;
   std::shared_ptr<Peers> peers_;
   std::shared_ptr<Directory> directory_;
--- a/sparbend/services/dialect.h
+++ b/sparbend/services/dialect.h
@@ -15,7 +15,7 @@
 
 namespace sparbend {
 
-struct CallerDialect : public Service {
+struct ClientProtocol : public Service {
   using RequestHead = http::request_header<>;
 
   // Reads the head into `exchange`; the refusal for what may not go on. The
@@ -49,7 +49,7 @@
   Millis retry_after;
 };
 
-struct TargetDialect : public Service {
+struct TargetProtocol : public Service {
   // The request to `slot`, body left out; the target may work for `left`.
   // `resume_after` is the id of the last event that the caller has, or empty.
   std::function<StringRequest(const RequestContext&,
--- a/sparbend/services/directory.cc
+++ b/sparbend/services/directory.cc
@@ -124,7 +124,7 @@
       looks_(StableHash(settings.name + kStoreReaderRole)) {}
 
 void Directory::Start() {
-  feed_ = kernel_->Find<DirectoryFeed>("directory-feed");
+  feed_ = kernel_->Find<DirectorySource>("directory-feed");
   scheduler_ = kernel_->Find<Scheduler>("scheduler");
   peers_ = kernel_->Find<Peers>("peers");
   metrics_ = kernel_->Find<Metrics>("metrics");
@@ -279,7 +279,7 @@
   scheduler_->node().SetDirectory(Digest(), told);
 }
 
-auto Directory::ReadTargets(FeedReader* reader) -> asio::awaitable<void> {
+auto Directory::ReadTargets(KeyedLogReader* reader) -> asio::awaitable<void> {
   const Millis sent = kernel_->Now();
   const Result<KeyedPage> page = co_await reader->Step(Millis(0));
   const Millis now = kernel_->Now();
@@ -339,7 +339,7 @@
 }
 
 auto Directory::FollowTargets() -> asio::awaitable<void> {
-  FeedReader reader(feed_->targets);
+  KeyedLogReader reader(feed_->targets);
   Millis read_at;
   while (true) {
     EndLapsed();
@@ -429,7 +429,7 @@
 }
 
 auto Directory::FollowBoxes() -> asio::awaitable<void> {
-  FeedReader reader(feed_->boxes);
+  KeyedLogReader reader(feed_->boxes);
   int reads = 0;
   Millis read_at;
   while (true) {
--- a/sparbend/services/directory.h
+++ b/sparbend/services/directory.h
@@ -38,7 +38,7 @@
 
  private:
   auto FollowTargets() -> asio::awaitable<void>;
-  auto ReadTargets(FeedReader* reader) -> asio::awaitable<void>;
+  auto ReadTargets(KeyedLogReader* reader) -> asio::awaitable<void>;
   auto FollowPeer() -> asio::awaitable<PeerListCheck>;
   // Of the names of all targets and boxes, and of each target which life it is
   // in, whether it leaves and whether it is cold.
@@ -70,7 +70,7 @@
 
   Kernel* kernel_;
   Settings settings_;
-  std::shared_ptr<DirectoryFeed> feed_;
+  std::shared_ptr<DirectorySource> feed_;
   std::shared_ptr<Scheduler> scheduler_;
   std::shared_ptr<Peers> peers_;
   std::shared_ptr<Admin> admin_;
--- a/sparbend/services/feed.cc
+++ b/sparbend/services/feed.cc
@@ -4,7 +4,7 @@
 
 // Two awaiting statements, since g++ 12 destroys the temporaries of a
 // conditional awaiting expression twice.
-auto FeedReader::Step(Millis wait) -> asio::awaitable<Result<KeyedPage>> {
+auto KeyedLogReader::Step(Millis wait) -> asio::awaitable<Result<KeyedPage>> {
   if (!next_)
     co_return co_await List();
   Result<KeyedPage> page = co_await log_.read(*next_, wait);
@@ -18,7 +18,7 @@
   co_return co_await List();
 }
 
-auto FeedReader::List() -> asio::awaitable<Result<KeyedPage>> {
+auto KeyedLogReader::List() -> asio::awaitable<Result<KeyedPage>> {
   Result<KeyedPage> page = co_await log_.newest();
   if (page)
     next_ = page->next;
--- a/sparbend/services/feed.h
+++ b/sparbend/services/feed.h
@@ -50,7 +50,7 @@
 
 // The service "declarations-feed": whole configurations under one key, and
 // besides a record for each hall that is to be empty, while it is.
-struct DeclarationFeed : public Service {
+struct DeclarationSource : public Service {
   KeyedLog log;
   std::string key;
   std::function<Result<DeclaredCatalog>(const std::string& value)> decode;
@@ -61,7 +61,7 @@
 
 // The service "directory-feed": targets as they tell of themselves, and the
 // boxes' own records.
-struct DirectoryFeed : public Service {
+struct DirectorySource : public Service {
   KeyedLog targets;
   std::function<Result<TargetEntry>(const std::string& key,
                                     const std::string& value)>
@@ -71,9 +71,9 @@
 
 // Reads a log on: all of it at first and whenever its place was lost, else
 // what came since.
-class FeedReader {
+class KeyedLogReader {
  public:
-  explicit FeedReader(KeyedLog log) : log_(std::move(log)) {}
+  explicit KeyedLogReader(KeyedLog log) : log_(std::move(log)) {}
 
   auto Step(Millis wait) -> asio::awaitable<Result<KeyedPage>>;
 
--- a/sparbend/services/forward.cc
+++ b/sparbend/services/forward.cc
@@ -161,8 +161,8 @@
 void Forward::Start() {
   scheduler_ = kernel_->Find<Scheduler>("scheduler");
   metrics_ = kernel_->Find<Metrics>("metrics");
-  caller_dialect_ = kernel_->Find<CallerDialect>("caller-dialect");
-  dialect_ = kernel_->Find<TargetDialect>("target-dialect");
+  caller_dialect_ = kernel_->Find<ClientProtocol>("caller-dialect");
+  dialect_ = kernel_->Find<TargetProtocol>("target-dialect");
   probe_ = kernel_->Find<TargetProbe>("target-probe");
   crash_watch_ = kernel_->Find<CrashWatch>("crash-watch");
 }
--- a/sparbend/services/forward.h
+++ b/sparbend/services/forward.h
@@ -100,8 +100,8 @@
   Connections connections_;
   std::shared_ptr<Scheduler> scheduler_;
   std::shared_ptr<Metrics> metrics_;
-  std::shared_ptr<CallerDialect> caller_dialect_;
-  std::shared_ptr<TargetDialect> dialect_;
+  std::shared_ptr<ClientProtocol> caller_dialect_;
+  std::shared_ptr<TargetProtocol> dialect_;
   std::shared_ptr<TargetProbe> probe_;
   std::shared_ptr<CrashWatch> crash_watch_;
 };
--- a/sparbend/services/front.cc
+++ b/sparbend/services/front.cc
@@ -65,7 +65,7 @@
 
 void Frontend::Start() {
   config_ = kernel_->Find<CatalogSource>("config");
-  dialect_ = kernel_->Find<CallerDialect>("caller-dialect");
+  dialect_ = kernel_->Find<ClientProtocol>("caller-dialect");
   scheduler_ = kernel_->Find<Scheduler>("scheduler");
   runner_ = kernel_->Find<Runner>("runner");
   metrics_ = kernel_->Find<Metrics>("metrics");
@@ -77,7 +77,8 @@
   hooks.refuse = [this](tcp::socket socket, Millis waited) {
     RefuseUnread(std::move(socket), waited);
   };
-  accepting_ = std::make_unique<Accepting>(kernel_, metrics_, std::move(hooks));
+  accepting_ =
+      std::make_unique<ClientAcceptor>(kernel_, metrics_, std::move(hooks));
   if (const std::error_code error =
           accepting_->Listen(*ParseAddress(settings_.caller_address))) {
     Log(LogLevel::kError, "listen-failed",
--- a/sparbend/services/front.h
+++ b/sparbend/services/front.h
@@ -83,11 +83,11 @@
   bool leaving_ = false;
   bool draining_ = false;
   std::shared_ptr<CatalogSource> config_;
-  std::shared_ptr<CallerDialect> dialect_;
+  std::shared_ptr<ClientProtocol> dialect_;
   std::shared_ptr<Scheduler> scheduler_;
   std::shared_ptr<Runner> runner_;
   std::shared_ptr<Metrics> metrics_;
-  std::unique_ptr<Accepting> accepting_;  // once started
+  std::unique_ptr<ClientAcceptor> accepting_;  // once started
 };
 
 }  // namespace sparbend
--- a/sparbend/services/own_dialect.cc
+++ b/sparbend/services/own_dialect.cc
@@ -125,8 +125,8 @@
 }
 
 auto MakeOwnCallerDialect(const Settings& settings)
-    -> std::shared_ptr<CallerDialect> {
-  auto dialect = std::make_shared<CallerDialect>();
+    -> std::shared_ptr<ClientProtocol> {
+  auto dialect = std::make_shared<ClientProtocol>();
   dialect->read_head = [settings](const http::request_header<>& head,
                                   RequestContext* exchange) {
     return ReadHead(settings, head, exchange);
@@ -144,8 +144,8 @@
   return dialect;
 }
 
-auto MakeOwnTargetDialect() -> std::shared_ptr<TargetDialect> {
-  auto dialect = std::make_shared<TargetDialect>();
+auto MakeOwnTargetDialect() -> std::shared_ptr<TargetProtocol> {
+  auto dialect = std::make_shared<TargetProtocol>();
   dialect->request_head = [](const RequestContext& exchange, const Slot& slot,
                              Millis /*left*/, const std::string& resume_after) {
     return RequestHead(exchange, slot, resume_after);
--- a/sparbend/services/own_dialect.h
+++ b/sparbend/services/own_dialect.h
@@ -11,8 +11,8 @@
 namespace sparbend {
 
 auto MakeOwnCallerDialect(const Settings& settings)
-    -> std::shared_ptr<CallerDialect>;
-auto MakeOwnTargetDialect() -> std::shared_ptr<TargetDialect>;
+    -> std::shared_ptr<ClientProtocol>;
+auto MakeOwnTargetDialect() -> std::shared_ptr<TargetProtocol>;
 
 // A problem document with the verdict, as the own interface words refusals.
 auto ProblemResponse(const Refusal& refusal, const std::string& request_id)
--- a/sparbend/services/runner.cc
+++ b/sparbend/services/runner.cc
@@ -52,7 +52,7 @@
   forward_ = kernel_->Find<Forward>("forward");
   claims_ = kernel_->Find<Claims>("claims");
   metrics_ = kernel_->Find<Metrics>("metrics");
-  dialect_ = kernel_->Find<CallerDialect>("caller-dialect");
+  dialect_ = kernel_->Find<ClientProtocol>("caller-dialect");
 }
 
 void Runner::OnCallerGone(RequestContext* exchange) {
--- a/sparbend/services/runner.h
+++ b/sparbend/services/runner.h
@@ -68,7 +68,7 @@
   std::shared_ptr<Forward> forward_;
   std::shared_ptr<Claims> claims_;
   std::shared_ptr<Metrics> metrics_;
-  std::shared_ptr<CallerDialect> dialect_;
+  std::shared_ptr<ClientProtocol> dialect_;
   std::map<std::string, RetryBudget> budgets_;  // by workspace
   // By pool; used instead where the settings name the fleet's limits.
   std::map<std::string, FleetRetryBudget> fleet_budgets_;
