--- a/sparbend/core/backoff_fleet_test.cc
+++ b/sparbend/core/backoff_fleet_test.cc
@@ -22,7 +22,7 @@
 constexpr Millis kSpan(20'000);
 constexpr Millis kWork(200);
 constexpr Millis kObjective(600);
-constexpr Millis kPatience(3'000);
+constexpr Millis kWaitTimeout(3'000);
 constexpr Millis kAsked(2'000);
 constexpr Millis kOnTheWay(500);
 constexpr int kMostWithin = 2;
@@ -119,7 +119,7 @@
     request.id = id;
     request.flow = {PoolIdOf("engines"), 1};
     request.arrived = nodes_.now();
-    request.expires = call.first + kPatience;
+    request.expires = call.first + kWaitTimeout;
     request.work.prompt_tokens = 100;
     request.work.output_tokens = 10;
     request.work.objective = kObjective;
@@ -135,7 +135,7 @@
   void Refuse(RequestId id, Millis retry_after) {
     const Call call = calls_.at(id);
     calls_.erase(id);
-    const Millis left = call.first + kPatience - nodes_.now();
+    const Millis left = call.first + kWaitTimeout - nodes_.now();
     const Millis wait = std::min(retry_after, Millis(left.count() / 3));
     if (call.tries < 2 && left > Millis(0))
       returns_.emplace(nodes_.now() + wait, call);
@@ -169,7 +169,7 @@
     node.ingress_scheduler().placement().OnRetryAfter(dispatch.target, kAsked,
                                                       nodes_.now());
     node.ingress_scheduler().Requeue(
-        dispatch.request, calls_.at(dispatch.request).first + kPatience);
+        dispatch.request, calls_.at(dispatch.request).first + kWaitTimeout);
   }
 
   static auto NumberOf(TargetId id) -> int {
--- a/sparbend/core/intake_test.cc
+++ b/sparbend/core/intake_test.cc
@@ -33,7 +33,7 @@
 constexpr double kStreamUs = 500'000;
 // A caller that is not read leaves after this, and one that is read or refused
 // by kInTime can still be served within its objective, here or at another box.
-constexpr Millis kPatience = Millis(1'000);
+constexpr Millis kWaitTimeout = Millis(1'000);
 constexpr Millis kInTime = Millis(100);
 
 struct Load {
@@ -106,7 +106,7 @@
 
   void Serve(double came) {
     const double waited = now_ - came;
-    if (waited > 1e3 * static_cast<double>(kPatience.count())) {
+    if (waited > 1e3 * static_cast<double>(kWaitTimeout.count())) {
       now_ += kUnheardUs;
       ++fate_.unheard;
       Count(came, waited, /*read=*/false);
--- a/testing/deadly_request_test.cc
+++ b/testing/deadly_request_test.cc
@@ -43,7 +43,7 @@
               {"name": "v", "api-keys": ["another-key"]}]})";
 constexpr int kBoxes = 3;
 constexpr int kTargets = 9;
-constexpr Millis kPatience(20'000);
+constexpr Millis kWaitTimeout(20'000);
 constexpr char kDeadly[] = "deadly";
 // A box may need so long until it goes by what ended elsewhere.
 constexpr Millis kContact(3'000);
@@ -136,7 +136,7 @@
   using TimePoint = std::chrono::steady_clock::time_point;
 
   auto KnowsAll(int box) -> bool {
-    return WaitFor(kPatience, [&] {
+    return WaitFor(kWaitTimeout, [&] {
       const auto read = world_.Events(BoxName(box), "directory");
       return !read.empty() && read.back().at("boxes") == kBoxes;
     });
@@ -246,7 +246,7 @@
     arguments.insert(arguments.end(), words.begin(), words.end());
     const std::string output = fleet.world().folder() + "/ctl.out";
     Process process(arguments, output);
-    process.Wait(kPatience);
+    process.Wait(kWaitTimeout);
     std::stringstream text;
     text << std::ifstream(output).rdbuf();
     return text.str();
@@ -258,7 +258,7 @@
   STRCMP_CONTAINS("1 requests", ctl({"lift", "w"}).c_str());
   const int ended = fleet.world().ended();
   for (int box = 0; box < kBoxes; ++box)
-    CHECK(WaitFor(kPatience, [&] {
+    CHECK(WaitFor(kWaitTimeout, [&] {
       return fleet.Ask(box, "/stream/x", kDeadly).status != 503 ||
              fleet.world().ended() > ended;
     }));
@@ -274,7 +274,7 @@
   LONGS_EQUAL(503, fleet.Ask(0, "/stream/x", kDeadly).status);
   LONGS_EQUAL(ended, fleet.world().ended());
   fleet.Ask(0, "/stream/x", kDeadly, "another-key");
-  CHECK(WaitFor(kPatience, [&] { return fleet.world().ended() > ended; }));
+  CHECK(WaitFor(kWaitTimeout, [&] { return fleet.world().ended() > ended; }));
 }
 
 TEST(DeadlyRequest, IsRefusedAsNotRunWithTheTimeToComeBack) {
@@ -296,7 +296,7 @@
   Fleet fleet("deadly-ended");
   CHECK(fleet.ready());
   fleet.Ask(0, "/stream/x", kDeadly);
-  CHECK(WaitFor(kPatience, [&] {
+  CHECK(WaitFor(kWaitTimeout, [&] {
     return !fleet.world().Events(BoxName(0), "target-ended").empty();
   }));
   constexpr int kCallers = 12;
@@ -339,7 +339,7 @@
     fleet.Ask(0, "/again/x", "harmless");
   fleet.world().SetCutOff(false);
   CHECK(fleet.world().Events(BoxName(0), "request-quarantined").empty());
-  CHECK(WaitFor(kPatience, [&] {
+  CHECK(WaitFor(kWaitTimeout, [&] {
     return fleet.Ask(0, "/again/x", "harmless").status == 200;
   }));
 }
--- a/testing/leaving_target_test.cc
+++ b/testing/leaving_target_test.cc
@@ -11,7 +11,7 @@
 namespace sparbend::testing {
 namespace {
 
-constexpr Millis kPatience(20'000);
+constexpr Millis kWaitTimeout(20'000);
 constexpr char kDeclarations[] = R"({"version": 3,
   "routes": [
     {"name": "again", "host": "127.0.0.1", "path-prefix": "/again/",
@@ -110,7 +110,7 @@
                    {platform::kDeadlineField, "18000"}});
     });
     CHECK_TEXT(
-        WaitFor(kPatience,
+        WaitFor(kWaitTimeout,
                 [&] { return !world.Events("box-1", "request-sent").empty(); }),
         row.what);
     world.AddTarget("good", "plain", [](const SeenRequest& request) {
@@ -122,7 +122,7 @@
       world.ListTarget("busy", "plain", busy.address(), "draining");
     else
       world.Put(platform::kTargetsTopic, "busy", "");
-    CHECK_TEXT(WaitFor(kPatience,
+    CHECK_TEXT(WaitFor(kWaitTimeout,
                        [&] {
                          const auto lists = world.Events("box-1", "directory");
                          return lists.back().at("withdrawn") ==
--- a/testing/platform_path_test.cc
+++ b/testing/platform_path_test.cc
@@ -15,7 +15,7 @@
 namespace sparbend::testing {
 namespace {
 
-constexpr Millis kPatience = Millis(20'000);
+constexpr Millis kWaitTimeout = Millis(20'000);
 constexpr char kDeclarations[] = R"({"version": 3,
   "routes": [
     {"name": "once", "host": "127.0.0.1", "path-prefix": "/once/",
@@ -644,13 +644,13 @@
         .status;
   };
   scripted.world().Put(platform::kDeclarationsTopic, key, "{}");
-  CHECK(WaitFor(kPatience, [&] { return status() == 503; }));
+  CHECK(WaitFor(kWaitTimeout, [&] { return status() == 503; }));
   // Refused from now on, and none of them seen by a target.
   LONGS_EQUAL(503, status());
   const std::string last = "emptied-" + std::to_string(asked);
   LONGS_EQUAL(0, scripted.world().SeenOf(last).size());
   scripted.world().Put(platform::kDeclarationsTopic, key, "");
-  CHECK(WaitFor(kPatience, [&] { return status() == 200; }));
+  CHECK(WaitFor(kWaitTimeout, [&] { return status() == 200; }));
 }
 
 // Symptom: a target that started again under its name, elsewhere, got nothing.
@@ -681,7 +681,7 @@
   tell(address, 2'000, 1);
   tell("127.0.0.1:1", 1'000, 51);  // a sign of the old life, written late
   int asked = 0;
-  CHECK(WaitFor(kPatience, [&] {
+  CHECK(WaitFor(kWaitTimeout, [&] {
     const std::string id = "reborn-" + std::to_string(++asked);
     const Reply reply = scripted.Ask("/reborn/x", id);
     const auto seen = world.SeenOf(id);
--- a/testing/platform_world.cc
+++ b/testing/platform_world.cc
@@ -19,7 +19,7 @@
 
 namespace fs = std::filesystem;
 
-constexpr Millis kPatience = Millis(20'000);
+constexpr Millis kWaitTimeout = Millis(20'000);
 constexpr const char* kEraField = "Store-Era";
 constexpr Millis kReadStep = Millis(5);
 // A target that ended is back after that.
@@ -183,7 +183,7 @@
   const std::string target(request.target());
   const std::string topic = QueryField(target, "topic");
   if (fault.silent)
-    co_await Sleep(kPatience);
+    co_await Sleep(kWaitTimeout);
   if (fault.refuses || fault.silent)
     co_return Status(http::status::service_unavailable);
   if (target.starts_with(platform::kNewestPath)) {
@@ -469,7 +469,7 @@
       std::vector<std::string>{Cluster::Program("sparbendd"), "--config",
                                settings},
       box.log_file);
-  WaitFor(kPatience, [&] { return !Events(name, "started").empty(); });
+  WaitFor(kWaitTimeout, [&] { return !Events(name, "started").empty(); });
   const std::vector<Json> started = Events(name, "started");
   if (!started.empty()) {
     box.callers = started.back().at("callers");
@@ -479,7 +479,7 @@
 }
 
 auto PlatformWorld::WaitReady(const std::string& name, bool ready) -> bool {
-  return WaitFor(kPatience, [&] {
+  return WaitFor(kWaitTimeout, [&] {
     const Reply reply = Call(boxes_.at(name).admin, "GET", "/readyz", "");
     return (reply.status == 200) == ready;
   });
--- a/testing/server_leaving_test.cc
+++ b/testing/server_leaving_test.cc
@@ -9,7 +9,7 @@
 namespace sparbend::testing {
 namespace {
 
-constexpr Millis kPatience(20'000);
+constexpr Millis kWaitTimeout(20'000);
 constexpr int kRequests = 40;
 constexpr char kDeclarations[] = R"({"version": 3,
   "routes": [
@@ -44,7 +44,7 @@
 
   // Asks until the leaving target has answered once.
   auto ReachLeaving() -> bool {
-    return WaitFor(kPatience, [this] {
+    return WaitFor(kWaitTimeout, [this] {
       Ask();
       return requests_ > 0;
     });
@@ -57,7 +57,7 @@
   }
 
   auto WaitForTargets(size_t count) -> bool {
-    return WaitFor(kPatience, [&] {
+    return WaitFor(kWaitTimeout, [&] {
       const auto lists = world_.Events("box-1", "directory");
       return !lists.empty() && lists.back().at("targets") == count;
     });
--- a/testing/soak/callers.cc
+++ b/testing/soak/callers.cc
@@ -1,5 +1,5 @@
-// A caller gives up after kPatience, longer than every route's time limit, so
-// a box that keeps its word has always answered by then.
+// A caller gives up after kWaitTimeout, longer than every route's time limit,
+// so a box that keeps its word has always answered by then.
 #include "testing/soak/callers.h"
 
 #include <array>
@@ -10,7 +10,7 @@
 namespace sparbend::testing {
 namespace {
 
-constexpr auto kPatience = std::chrono::seconds(6);
+constexpr auto kWaitTimeout = std::chrono::seconds(6);
 constexpr Millis kPause = Millis(15);         // between two requests
 constexpr Millis kPauseUnheard = Millis(50);  // after a connection that failed
 constexpr int kMostBoxes = 64;
@@ -97,7 +97,7 @@
   request.body() = "body of " + asked->id;
   request.prepare_payload();
   asked->sent = now_();
-  link->stream.expires_after(kPatience);
+  link->stream.expires_after(kWaitTimeout);
   auto [error, size] =
       co_await http::async_write(link->stream, request, kAwait);
   http::response_parser<http::string_body> parser;
--- a/testing/soak/deadly.cc
+++ b/testing/soak/deadly.cc
@@ -11,7 +11,7 @@
 
 constexpr int kTargets = 4;
 constexpr Millis kPause = Millis(150);
-constexpr Millis kPatience = Millis(4'000);
+constexpr Millis kWaitTimeout = Millis(4'000);
 constexpr Millis kUntilEnd = Millis(20);
 // A box goes by what ended elsewhere within this time, and so many sendings
 // after it are forgiven.
@@ -89,7 +89,7 @@
         {platform::kCallerIdField, id},
         {platform::kTokensField, "100,10"},
         {platform::kDeadlineField, "3000"}},
-       kPatience);
+       kWaitTimeout);
 }
 
 void DeadlyCallers::Run() {
--- a/testing/target_retry_after_test.cc
+++ b/testing/target_retry_after_test.cc
@@ -13,7 +13,7 @@
 namespace sparbend::testing {
 namespace {
 
-constexpr Millis kPatience(20'000);
+constexpr Millis kWaitTimeout(20'000);
 constexpr char kDeclarations[] = R"({"version": 3,
   "routes": [
     {"name": "again", "host": "127.0.0.1", "path-prefix": "/again/",
@@ -261,10 +261,10 @@
   };
   CHECK_EQUAL(200, ask("first").status);
   auto refused = std::async(std::launch::async, [&] { return ask("refused"); });
-  CHECK(WaitFor(kPatience, [&] { return slow.requests() == 2; }));
+  CHECK(WaitFor(kWaitTimeout, [&] { return slow.requests() == 2; }));
   auto connecting =
       std::async(std::launch::async, [&] { return ask("connecting"); });
-  CHECK(WaitFor(kPatience, [&] {
+  CHECK(WaitFor(kWaitTimeout, [&] {
     return world.Events("box-1", "request-sent").size() == 3;
   }));
   slow.Refuse();
@@ -274,7 +274,7 @@
     script.pieces = {GoodAnswer(request, "good")};
     return script;
   });
-  CHECK(WaitFor(kPatience, [&] {
+  CHECK(WaitFor(kWaitTimeout, [&] {
     return world.Events("box-1", "directory").back().at("targets") == 2;
   }));
   slow.TakeConnections();
--- a/testing/weather_test.cc
+++ b/testing/weather_test.cc
@@ -17,7 +17,7 @@
 namespace sparbend::testing {
 namespace {
 
-constexpr Millis kPatience = Millis(30'000);
+constexpr Millis kWaitTimeout = Millis(30'000);
 
 // Three boxes and a service behind a fault proxy, an engine beside it.
 class WeatherFleet {
@@ -44,7 +44,8 @@
     cluster_.Publish(DocumentsOf(scenario));
     for (const char* box : {"h-1", "h-2", "h-3"})
       cluster_.StartBox(box, "h");
-    ready_ = cluster_.WaitReady(kPatience) && WaitSettled(&cluster_, kPatience);
+    ready_ = cluster_.WaitReady(kWaitTimeout) &&
+             WaitSettled(&cluster_, kWaitTimeout);
   }
 
   auto ready() const -> bool { return ready_; }
@@ -204,7 +205,7 @@
   const Reply refused = Shared().Vend("h-1", "freed", key);
   STRCMP_EQUAL("not-run", VerdictOf(refused).c_str());
   cluster.Control("target-fault", {{"name", "service"}, {"fault", "none"}});
-  CHECK(WaitFor(kPatience, [&] {
+  CHECK(WaitFor(kWaitTimeout, [&] {
     return Shared().Vend("h-2", "freed", key).status == 200;
   }));
   LONGS_EQUAL(1, Shared().Runs("freed"));
@@ -231,7 +232,7 @@
   LONGS_EQUAL(200, Shared().Vend("h-1", "no-log-plain", "", false).status);
   LONGS_EQUAL(200, Shared().Ask("h-2", "no-log-engine", 3).status);
   cluster.Control("fault", Json::object());
-  CHECK(WaitFor(kPatience, [&] {
+  CHECK(WaitFor(kWaitTimeout, [&] {
     return Shared().Vend("h-1", "no-log", key).status == 200;
   }));
   LONGS_EQUAL(1, Shared().Runs("no-log"));
@@ -258,7 +259,7 @@
     CHECK(first[at].status == 200 || VerdictOf(first[at]) == "not-run");
     if (first[at].status != 200) {
       LONGS_EQUAL(0, Shared().Runs(tag));
-      CHECK(WaitFor(kPatience, [&] {
+      CHECK(WaitFor(kWaitTimeout, [&] {
         return Shared().Vend("h-2", tag, keys[at]).status == 200;
       }));
     }
@@ -278,7 +279,7 @@
   const double begun = Begun(cluster, name);
   std::future<Reply> asked = std::async(
       std::launch::async, [] { return Shared().Ask("h-1", "resumed", 100); });
-  CHECK(WaitFor(kPatience, [&] { return Begun(cluster, name) > begun; }));
+  CHECK(WaitFor(kWaitTimeout, [&] { return Begun(cluster, name) > begun; }));
   cluster.Control("target-fault", {{"name", "engine"}, {"fault", "drop"}});
   const Reply reply = asked.get();
   LONGS_EQUAL(200, reply.status);
@@ -293,12 +294,12 @@
   const double begun = Begun(cluster, "h-1");
   std::future<Reply> asked = std::async(
       std::launch::async, [] { return Shared().Ask("h-1", "killed", 200); });
-  CHECK(WaitFor(kPatience, [&] { return Begun(cluster, "h-1") > begun; }));
+  CHECK(WaitFor(kWaitTimeout, [&] { return Begun(cluster, "h-1") > begun; }));
   cluster.Control("target-fault", {{"name", "engine"}, {"fault", "kill"}});
   const Reply reply = asked.get();
   LONGS_EQUAL(0, reply.status);  // the connection broke
   cluster.Control("target-fault", {{"name", "engine"}, {"fault", "revive"}});
-  CHECK(WaitFor(kPatience, [&] {
+  CHECK(WaitFor(kWaitTimeout, [&] {
     return Shared().Ask("h-1", "revived", 2).status == 200;
   }));
 }
@@ -313,7 +314,7 @@
       std::launch::async, [=] { return Shared().Vend("h-1", "paused", key); });
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
   // The caller's copy goes through another box meanwhile.
-  CHECK(WaitFor(kPatience, [&] {
+  CHECK(WaitFor(kWaitTimeout, [&] {
     const int status = Shared().Vend("h-2", "paused", key).status;
     return status == 200 || status == 409;
   }));
@@ -322,7 +323,7 @@
   const Reply late = stuck.get();
   LONGS_EQUAL(409, late.status);
   LONGS_EQUAL(1, Shared().Runs("paused"));
-  CHECK(WaitSettled(&cluster, kPatience));
+  CHECK(WaitSettled(&cluster, kWaitTimeout));
 }
 
 TEST(Weather, TheWinnerOfAKeyIsKilledAndTheKeyStaysTaken) {
@@ -331,20 +332,20 @@
   Shared().proxy().Set({Millis(0), -1, -1, true});  // the answer never comes
   std::future<Reply> winner = std::async(
       std::launch::async, [=] { return Shared().Vend("h-3", "orphan", key); });
-  CHECK(WaitFor(kPatience, [&] { return Shared().Runs("orphan") == 1; }));
+  CHECK(WaitFor(kWaitTimeout, [&] { return Shared().Runs("orphan") == 1; }));
   cluster.box("h-3").process->Signal(SIGKILL);
   winner.wait();
   Shared().proxy().Set({});
   Reply copy;
-  CHECK(WaitFor(kPatience, [&] {
+  CHECK(WaitFor(kWaitTimeout, [&] {
     copy = Shared().Vend("h-1", "orphan", key);
     return copy.status == 409;
   }));
   STRCMP_EQUAL("may-have-run", VerdictOf(copy).c_str());
   LONGS_EQUAL(1, Shared().Runs("orphan"));
   cluster.StartBox("h-3", "h");
-  CHECK(cluster.WaitReady(kPatience));
-  CHECK(WaitSettled(&cluster, kPatience));
+  CHECK(cluster.WaitReady(kWaitTimeout));
+  CHECK(WaitSettled(&cluster, kWaitTimeout));
 }
 
 // Leaving, known by one way only: the list, the target's own answers, a peer.
@@ -356,7 +357,7 @@
                      {"hall", "h"},
                      {"pool", "sparbend-pool"},
                      {"token_us", 1'000}});
-  CHECK(WaitFor(kPatience, [&] {
+  CHECK(WaitFor(kWaitTimeout, [&] {
     std::vector<std::future<Reply>> asked;
     for (int i = 0; i < 8; ++i)
       asked.push_back(std::async(std::launch::async, [&fleet] {
@@ -382,12 +383,12 @@
       reply.wait();
     return fleet.RunsAt("second") == before;
   };
-  CHECK(WaitFor(kPatience, settled));
+  CHECK(WaitFor(kWaitTimeout, settled));
   CHECK(settled());
   // By the list alone.
   cluster.Control("state", {{"name", "engine"}, {"state", "leaving"}});
   for (const char* box : {"h-1", "h-2", "h-3"})
-    CHECK(WaitFor(kPatience, [&] {
+    CHECK(WaitFor(kWaitTimeout, [&] {
       return fleet.Ask(box, "none-left", 1).status == 503;
     }));
   const size_t before = fleet.RunsAt("engine");
@@ -406,9 +407,9 @@
     streams.push_back(std::async(std::launch::async, [&fleet, i] {
       return fleet.Ask("h-1", "drained-" + std::to_string(i), 300);
     }));
-  CHECK(WaitFor(kPatience, [&] { return fleet.Runs("drained-5") > 0; }));
+  CHECK(WaitFor(kWaitTimeout, [&] { return fleet.Runs("drained-5") > 0; }));
   cluster.Rpc("h-1", "drain");
-  CHECK(WaitFor(kPatience, [&] {
+  CHECK(WaitFor(kWaitTimeout, [&] {
     return Call(cluster.box("h-1").admin, "GET", "/readyz", "").status == 503;
   }));
   for (int i = 0; i < 6; ++i) {
@@ -418,7 +419,8 @@
     LONGS_EQUAL(200, reply.status);
     STRCMP_EQUAL(ExpectedStream(body, 2, 300).c_str(), reply.body.c_str());
   }
-  const std::optional<int> code = cluster.box("h-1").process->Wait(kPatience);
+  const std::optional<int> code =
+      cluster.box("h-1").process->Wait(kWaitTimeout);
   CHECK(code.has_value());
   LONGS_EQUAL(0, *code);
 }
