--- a/sparbend/core/fleet_words_test.cc
+++ b/sparbend/core/fleet_words_test.cc
@@ -164,9 +164,9 @@
   std::map<int, std::vector<RequestId>> running_;
 };
 
-TEST_GROUP(FleetWords){};
+TEST_GROUP(FleetReports){};
 
-TEST(FleetWords, WhatABoxHearsAndSaysDoesNotGrowWithTheFleet) {
+TEST(FleetReports, WhatABoxHearsAndSaysDoesNotGrowWithTheFleet) {
   constexpr Millis kJudged(2'000);
   constexpr int kTargetsPerBox = 1;
   constexpr int kHalls = 5;
@@ -192,7 +192,7 @@
   CHECK(datagrams[300] <= 3 * datagrams[60]);
 }
 
-TEST(FleetWords, AllKnowWhatTheFleetHasRunning) {
+TEST(FleetReports, AllKnowWhatTheFleetHasRunning) {
   struct Case {
     const char* what;
     int boxes;
@@ -222,7 +222,7 @@
 }
 
 // One box after the other is lost, those that add up for others among them.
-TEST(FleetWords, GoOnWhileBoxesAreLostInTurn) {
+TEST(FleetReports, GoOnWhileBoxesAreLostInTurn) {
   constexpr int kBoxes = 60;
   constexpr int kHalls = 3;
   BusyFleet fleet(kBoxes, 40, kHalls);
@@ -248,7 +248,7 @@
   LONGS_EQUAL(0, fleet.WorstError());
 }
 
-TEST(FleetWords, AHallCutOffIsWholeAgainWithinTwoSeconds) {
+TEST(FleetReports, AHallCutOffIsWholeAgainWithinTwoSeconds) {
   constexpr int kBoxes = 90;
   constexpr int kHalls = 3;
   BusyFleet fleet(kBoxes, 60, kHalls);
@@ -262,7 +262,7 @@
 }
 
 // All are killed and come back at once, with nothing that they knew.
-TEST(FleetWords, AFleetThatStartsKnowsItselfWithinASecond) {
+TEST(FleetReports, AFleetThatStartsKnowsItselfWithinASecond) {
   constexpr int kBoxes = 150;
   BusyFleet fleet(kBoxes, 60, 5);
   fleet.Run(kSettled, 8);
--- a/sparbend/core/node_words_test.cc
+++ b/sparbend/core/node_words_test.cc
@@ -14,11 +14,11 @@
 using testing::EngineTargets;
 using testing::SharedNodes;
 
-TEST_GROUP(NodeWords){};
+TEST_GROUP(NodeReports){};
 
 // A box that sends to more targets than a datagram can name: its word comes in
 // parts, and nothing is left out.
-TEST(NodeWords, NameAllTargetsHoweverManyABoxUses) {
+TEST(NodeReports, NameAllTargetsHoweverManyABoxUses) {
   constexpr int kTargets = 300;
   constexpr int kSlots = 64;
   SharedNodes nodes(2, EngineTargets(kTargets, kSlots));
@@ -49,7 +49,7 @@
   CHECK(nodes.at(1).members().IsLive(BoxIdOf("box-0"), nodes.now()));
 }
 
-TEST(NodeWords, TheFirstToHaveAVersionTellsItAtOnce) {
+TEST(NodeReports, TheFirstToHaveAVersionTellsItAtOnce) {
   SharedNodes nodes(2, {});
   nodes.Step(Millis(1'000));
   nodes.at(0).SetConfigOffset(7);
@@ -64,7 +64,7 @@
 }
 
 // All begin to speak at the same moment, as after news that all tell on.
-TEST(NodeWords, OfBoxesInStepComeApart) {
+TEST(NodeReports, OfBoxesInStepComeApart) {
   constexpr int kBoxes = 20;
   constexpr int64_t kSlotMs = 50;
   constexpr Millis kJudgedFrom(18'000);
--- a/sparbend/core/sum_parts_test.cc
+++ b/sparbend/core/sum_parts_test.cc
@@ -9,7 +9,7 @@
 
 constexpr std::string_view kKey = "key-of-this-test";
 
-TEST_GROUP(SumParts){};
+TEST_GROUP(AggregateParts){};
 
 // A sum over boxes with as many entries of each kind as `entries`.
 auto AnySum(int entries) -> Datagram {
@@ -41,7 +41,7 @@
   return sum;
 }
 
-TEST(SumParts, FitADatagramAndAreTheSumAgainInAnyOrder) {
+TEST(AggregateParts, FitADatagramAndAreTheSumAgainInAnyOrder) {
   testing::CheckHolds("assemble(shuffle(cut(s))) == s", [] {
     const Datagram sum = AnySum(*rc::gen::inRange(0, 150));
     std::vector<Datagram> parts = SplitAggregate(sum);
@@ -74,7 +74,7 @@
   });
 }
 
-TEST(SumParts, AnUnfinishedSumGivesWayToTheNextAndOldPartsToIt) {
+TEST(AggregateParts, AnUnfinishedSumGivesWayToTheNextAndOldPartsToIt) {
   Datagram sum;
   sum.kind = DatagramKind::kHallAggregate;
   sum.sender = 7;
@@ -103,7 +103,7 @@
   CHECK(assembly.Take(first.back()).has_value());
 }
 
-TEST(SumParts, OfOneSumThatDisagreeOnTheirNumberAreDropped) {
+TEST(AggregateParts, OfOneSumThatDisagreeOnTheirNumberAreDropped) {
   Datagram part;
   part.kind = DatagramKind::kFleetAggregate;
   part.sender = 7;
--- a/sparbend/core/target_births_test.cc
+++ b/sparbend/core/target_births_test.cc
@@ -72,9 +72,9 @@
   }
 }
 
-TEST_GROUP(TargetBirths){};
+TEST_GROUP(TargetRestarts){};
 
-TEST(TargetBirths, TheLastBirthIsBelievedInWhateverOrderWordsCome) {
+TEST(TargetRestarts, TheLastBirthIsBelievedInWhateverOrderWordsCome) {
   const std::vector<Row> rows = {
       {"a later birth counts anew",
        {Put(1, Entry(100, 50)), Put(2, Entry(200, 1))},
@@ -107,7 +107,7 @@
   }
 }
 
-TEST(TargetBirths, ARecordOfNoTargetEndsWhatStoodUnderItsName) {
+TEST(TargetRestarts, ARecordOfNoTargetEndsWhatStoodUnderItsName) {
   const std::vector<Row> rows = {
       {"at once", {Put(1, Entry(100, 5)), Refute(2)}, ""},
       {"until the target tells of itself again",
@@ -129,7 +129,7 @@
 }
 
 // A store that is away excuses a lapse, not a record that names no target.
-TEST(TargetBirths, ARecordOfNoTargetEndsItWhileTheStoreSettlesToo) {
+TEST(TargetRestarts, ARecordOfNoTargetEndsItWhileTheStoreSettlesToo) {
   TargetTable book;
   book.Put(Entry(100, 5), 1, Millis(0));
   CHECK(!book.Drop("a", 2, Removal::kDoubtful));
@@ -137,7 +137,7 @@
   STRCMP_EQUAL("", Tell(book).c_str());
 }
 
-TEST(TargetBirths, EachLifeHasANumberOfItsOwn) {
+TEST(TargetRestarts, EachLifeHasANumberOfItsOwn) {
   CHECK(IdOf(Entry(100, 1)) != IdOf(Entry(200, 1)));
   CHECK(IdOf(Entry(100, 1)) == IdOf(Entry(100, 9)));
   LONGS_EQUAL(TargetIdOf("a"), IdOf(Entry(0, 1)));
@@ -146,7 +146,7 @@
 // Lives with their signs of life, some of them written late, read in any order
 // and some of them not at all: the book ends with the last sign of the last
 // life.
-TEST(TargetBirths, EndsWithTheLastSignOfTheLastLife) {
+TEST(TargetRestarts, EndsWithTheLastSignOfTheLastLife) {
   testing::CheckHolds("last life", [] {
     const auto lives = *rc::gen::container<std::vector<int>>(
         4, rc::gen::inRange(1, 5));  // signs of life in each
--- a/testing/weather_test.cc
+++ b/testing/weather_test.cc
@@ -114,7 +114,7 @@
   return found == reply.fields.end() ? "" : found->second;
 }
 
-TEST_GROUP(Weather){
+TEST_GROUP(NetworkFaults){
     static auto Shared()->WeatherFleet &
     {static WeatherFleet fleet("weather", "[limits]\nsilence_ms = 2000\n");
 return fleet;
@@ -128,7 +128,7 @@
 };  // namespace sparbend::testing
 
 // Each row is one fault on the way to a target that must not run it twice.
-TEST(Weather, NonRepeatableRequestsRunAtMostOnceAndTheVerdictIsTrue) {
+TEST(NetworkFaults, NonRepeatableRequestsRunAtMostOnceAndTheVerdictIsTrue) {
   struct Case {
     const char* what;
     TcpFault fault;
@@ -159,7 +159,7 @@
   }
 }
 
-TEST(Weather, ALateAnswerNeverMeetsTheNextCaller) {
+TEST(NetworkFaults, ALateAnswerNeverMeetsTheNextCaller) {
   // The answer to the first request comes after its caller gave up.
   Shared().proxy().Set({Millis(600), -1, -1, false});
   const Json body = {{"tag", "late"}};
@@ -176,7 +176,7 @@
   }
 }
 
-TEST(Weather, CopiesOfOneKeyThroughThreeBoxesRunOnce) {
+TEST(NetworkFaults, CopiesOfOneKeyThroughThreeBoxesRunOnce) {
   for (int round = 0; round < 10; ++round) {
     const std::string tag = "copies-" + std::to_string(round);
     const std::string key = NewKey(static_cast<uint64_t>(round) * 7919 + 5);
@@ -198,7 +198,7 @@
   }
 }
 
-TEST(Weather, AKeyIsFreeAgainAfterARequestThatWasNotRun) {
+TEST(NetworkFaults, AKeyIsFreeAgainAfterARequestThatWasNotRun) {
   Cluster& cluster = Shared().cluster();
   const std::string key = NewKey(424'242);
   cluster.Control("target-fault", {{"name", "service"}, {"fault", "refuse"}});
@@ -211,7 +211,7 @@
   LONGS_EQUAL(1, Shared().Runs("freed"));
 }
 
-TEST(Weather, BadKeysAreRefusedAsNotRun) {
+TEST(NetworkFaults, BadKeysAreRefusedAsNotRun) {
   for (const char* key : {"my-key", "019adc05-2400-4abc-8def-0123456789ab",
                           "00000000-0000-7abc-8def-0123456789ab"}) {
     const Reply reply = Shared().Vend("h-1", "bad-key", key);
@@ -221,7 +221,7 @@
   LONGS_EQUAL(0, Shared().Runs("bad-key"));
 }
 
-TEST(Weather, WithoutTheLogKeyedRequestsAreNotRunAndOthersGoOn) {
+TEST(NetworkFaults, WithoutTheLogKeyedRequestsAreNotRunAndOthersGoOn) {
   Cluster& cluster = Shared().cluster();
   cluster.Control("fault", {{"log_down", true}});
   const std::string key = NewKey(77);
@@ -238,7 +238,7 @@
   LONGS_EQUAL(1, Shared().Runs("no-log"));
 }
 
-TEST(Weather, ClaimsWhoseAppendLostItsAnswerRunAtMostOnce) {
+TEST(NetworkFaults, ClaimsWhoseAppendLostItsAnswerRunAtMostOnce) {
   Cluster& cluster = Shared().cluster();
   cluster.Control("fault", {{"log_loses_answers", true}});
   std::vector<std::string> keys;
@@ -272,7 +272,7 @@
   return cluster.Metric(name, "sparbend_first_byte_seconds_count");
 }
 
-TEST(Weather, ABrokenStreamIsTakenUpAgainWhole) {
+TEST(NetworkFaults, ABrokenStreamIsTakenUpAgainWhole) {
   Cluster& cluster = Shared().cluster();
   const std::string name = "h-1";
   const double resumes = cluster.Metric(name, "sparbend_resumes_total");
@@ -289,7 +289,7 @@
   CHECK(cluster.Metric(name, "sparbend_resumes_total") > resumes);
 }
 
-TEST(Weather, ABrokenStreamThatCannotBeResumedNeverLooksWhole) {
+TEST(NetworkFaults, ABrokenStreamThatCannotBeResumedNeverLooksWhole) {
   Cluster& cluster = Shared().cluster();
   const double begun = Begun(cluster, "h-1");
   std::future<Reply> asked = std::async(
@@ -305,7 +305,7 @@
 }
 
 // A box paused past its leases wakes and sends nothing that must not be sent.
-TEST(Weather, APausedBoxSendsNothingLateAndNothingTwice) {
+TEST(NetworkFaults, APausedBoxSendsNothingLateAndNothingTwice) {
   Cluster& cluster = Shared().cluster();
   const std::string key = NewKey(31'337);
   Process& process = *cluster.box("h-1").process;
@@ -326,7 +326,7 @@
   CHECK(WaitSettled(&cluster, kWaitTimeout));
 }
 
-TEST(Weather, TheWinnerOfAKeyIsKilledAndTheKeyStaysTaken) {
+TEST(NetworkFaults, TheWinnerOfAKeyIsKilledAndTheKeyStaysTaken) {
   Cluster& cluster = Shared().cluster();
   const std::string key = NewKey(99'991);
   Shared().proxy().Set({Millis(0), -1, -1, true});  // the answer never comes
@@ -349,7 +349,7 @@
 }
 
 // Leaving, known by one way only: the list, the target's own answers, a peer.
-TEST(Weather, ALeavingTargetGetsNoNewWork) {
+TEST(NetworkFaults, ALeavingTargetGetsNoNewWork) {
   WeatherFleet fleet("leaving");
   CHECK(fleet.ready());
   Cluster& cluster = fleet.cluster();
@@ -398,7 +398,7 @@
 }
 
 // A planned stop under load: streams end whole, nothing is lost, exit 0.
-TEST(Weather, ADrainedBoxCutsNothingOff) {
+TEST(NetworkFaults, ADrainedBoxCutsNothingOff) {
   WeatherFleet fleet("drain");
   CHECK(fleet.ready());
   Cluster& cluster = fleet.cluster();
