--- a/sparbend/core/intake.cc
+++ b/sparbend/core/accept_queue.cc
@@ -7,7 +7,7 @@
 // Two callers are served in a turn of the loop. Turns grow with the work under
 // way, so a box that is behind takes fewer requests on; in that the number
 // adapts to any size of box.
-#include "sparbend/core/intake.h"
+#include "sparbend/core/accept_queue.h"
 
 namespace sparbend {
 namespace {
--- a/sparbend/core/intake.h
+++ b/sparbend/core/accept_queue.h
@@ -5,8 +5,8 @@
 //
 //   const uint64_t caller = intake.Add(now);
 //   for (uint64_t served : intake.NextTurn(now).serve) ...
-#ifndef SPARBEND_CORE_INTAKE_H_
-#define SPARBEND_CORE_INTAKE_H_
+#ifndef SPARBEND_CORE_ACCEPT_QUEUE_H_
+#define SPARBEND_CORE_ACCEPT_QUEUE_H_
 
 #include <cstdint>
 #include <deque>
@@ -47,4 +47,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_CORE_INTAKE_H_
+#endif  // SPARBEND_CORE_ACCEPT_QUEUE_H_
--- a/sparbend/core/intake_test.cc
+++ b/sparbend/core/accept_queue_test.cc
@@ -6,7 +6,7 @@
 // later, and answered a third of these. What waited was as old as callers'
 // patience and stayed so until the flood ended, and nothing in the box saw it:
 // from 25.4 s on its log said "overload-over" with a delay of 6 ms.
-#include "sparbend/core/intake.h"
+#include "sparbend/core/accept_queue.h"
 
 #include <algorithm>
 #include <cmath>
--- a/sparbend/core/sum_parts.cc
+++ b/sparbend/core/aggregate_parts.cc
@@ -3,7 +3,7 @@
 // that sum; the next comes soon, and from two boxes.
 //
 // Invariant: of each sender and kind the sequence of the sums begun only rises.
-#include "sparbend/core/sum_parts.h"
+#include "sparbend/core/aggregate_parts.h"
 
 namespace sparbend {
 namespace {
--- a/sparbend/core/sum_parts.h
+++ b/sparbend/core/aggregate_parts.h
@@ -4,8 +4,8 @@
 //   for (const Datagram& part : SplitAggregate(sum)) Send(part);
 //   AggregateAssembler assembly;
 //   if (const auto sum = assembly.Take(part)) Use(*sum);
-#ifndef SPARBEND_CORE_SUM_PARTS_H_
-#define SPARBEND_CORE_SUM_PARTS_H_
+#ifndef SPARBEND_CORE_AGGREGATE_PARTS_H_
+#define SPARBEND_CORE_AGGREGATE_PARTS_H_
 
 #include <map>
 #include <optional>
@@ -42,4 +42,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_CORE_SUM_PARTS_H_
+#endif  // SPARBEND_CORE_AGGREGATE_PARTS_H_
--- a/sparbend/core/sum_parts_test.cc
+++ b/sparbend/core/aggregate_parts_test.cc
@@ -1,4 +1,4 @@
-#include "sparbend/core/sum_parts.h"
+#include "sparbend/core/aggregate_parts.h"
 
 #include <algorithm>
 
--- a/sparbend/core/fair_fleet_test.cc
+++ b/sparbend/core/fair_fleet_test.cc
@@ -29,7 +29,7 @@
 
 #include <CppUTest/TestHarness.h>
 
-#include "sparbend/core/fair_parts.h"
+#include "sparbend/core/fair_shares.h"
 
 namespace sparbend {
 namespace {
--- a/sparbend/core/fair_parts.cc
+++ b/sparbend/core/fair_shares.cc
@@ -20,7 +20,7 @@
 // asks, which is what the fleet served if all boxes gave alike. The second is
 // exact and stops each box at its part of the bound; the first gives to others
 // what a box leaves of its part.
-#include "sparbend/core/fair_parts.h"
+#include "sparbend/core/fair_shares.h"
 
 #include <algorithm>
 #include <cmath>
--- a/sparbend/core/fair_parts.h
+++ b/sparbend/core/fair_shares.h
@@ -6,8 +6,8 @@
 //   parts.Excess(flow, now)           // 1 and more: had its part
 //
 // Pure. Amounts are tokens over the flow's share (FairUsage).
-#ifndef SPARBEND_CORE_FAIR_PARTS_H_
-#define SPARBEND_CORE_FAIR_PARTS_H_
+#ifndef SPARBEND_CORE_FAIR_SHARES_H_
+#define SPARBEND_CORE_FAIR_SHARES_H_
 
 #include <limits>
 #include <map>
@@ -107,4 +107,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_CORE_FAIR_PARTS_H_
+#endif  // SPARBEND_CORE_FAIR_SHARES_H_
--- a/sparbend/core/fair_parts_test.cc
+++ b/sparbend/core/fair_shares_test.cc
@@ -1,4 +1,4 @@
-#include "sparbend/core/fair_parts.h"
+#include "sparbend/core/fair_shares.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/sparbend/core/hall_sums.cc
+++ b/sparbend/core/hall_aggregates.cc
@@ -4,7 +4,7 @@
 //
 // Each fleet's sum names the heartbeats of the words of its own hall, so a box
 // that hears it can take out what it told itself, and no more.
-#include "sparbend/core/hall_sums.h"
+#include "sparbend/core/hall_aggregates.h"
 
 #include <algorithm>
 
--- a/sparbend/core/hall_sums.h
+++ b/sparbend/core/hall_aggregates.h
@@ -5,8 +5,8 @@
 //   sums.HallSum(now); sums.FleetSum(now)
 //
 // Pure.
-#ifndef SPARBEND_CORE_HALL_SUMS_H_
-#define SPARBEND_CORE_HALL_SUMS_H_
+#ifndef SPARBEND_CORE_HALL_AGGREGATES_H_
+#define SPARBEND_CORE_HALL_AGGREGATES_H_
 
 #include <deque>
 #include <map>
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "sparbend/core/fair_usage.h"
-#include "sparbend/core/load_book.h"
+#include "sparbend/core/load_table.h"
 #include "sparbend/core/messages.h"
 
 namespace sparbend {
@@ -78,4 +78,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_CORE_HALL_SUMS_H_
+#endif  // SPARBEND_CORE_HALL_AGGREGATES_H_
--- a/sparbend/core/entry.cc
+++ b/sparbend/core/ingress_scheduler.cc
@@ -9,7 +9,7 @@
 //     would come back to it anyway, and staying saves two messages and the
 //     time between them;
 //   - under kLeases any flow, under kGrants no other.
-#include "sparbend/core/entry.h"
+#include "sparbend/core/ingress_scheduler.h"
 
 #include <algorithm>
 #include <array>
--- a/sparbend/core/entry.h
+++ b/sparbend/core/ingress_scheduler.h
@@ -5,8 +5,8 @@
 //   entry.Enqueue(request, now);           // or why not
 //   entry.Schedule(now) -> dispatches      // start these, now
 //   entry.Progress(id, tokens); entry.Finish(id, tokens);
-#ifndef SPARBEND_CORE_ENTRY_H_
-#define SPARBEND_CORE_ENTRY_H_
+#ifndef SPARBEND_CORE_INGRESS_SCHEDULER_H_
+#define SPARBEND_CORE_INGRESS_SCHEDULER_H_
 
 #include <map>
 #include <memory>
@@ -14,15 +14,15 @@
 #include <string>
 #include <vector>
 
-#include "sparbend/core/allocators.h"
 #include "sparbend/core/catalog.h"
 #include "sparbend/core/demand.h"
 #include "sparbend/core/estimator.h"
-#include "sparbend/core/fair_parts.h"
-#include "sparbend/core/leases.h"
-#include "sparbend/core/ledger.h"
+#include "sparbend/core/fair_shares.h"
+#include "sparbend/core/lease_table.h"
 #include "sparbend/core/placement.h"
 #include "sparbend/core/queue.h"
+#include "sparbend/core/service_counters.h"
+#include "sparbend/core/slot_allocator.h"
 #include "sparbend/core/verdict.h"
 
 namespace sparbend {
@@ -208,4 +208,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_CORE_ENTRY_H_
+#endif  // SPARBEND_CORE_INGRESS_SCHEDULER_H_
--- a/sparbend/core/entry_shared.cc
+++ b/sparbend/core/ingress_scheduler_shared.cc
@@ -8,7 +8,7 @@
 #include <algorithm>
 #include <set>
 
-#include "sparbend/core/entry.h"
+#include "sparbend/core/ingress_scheduler.h"
 
 namespace sparbend {
 namespace {
--- a/sparbend/core/entry_shared_test.cc
+++ b/sparbend/core/ingress_scheduler_shared_test.cc
@@ -1,5 +1,5 @@
 // The policy kShared in one box.
-#include "sparbend/core/entry.h"
+#include "sparbend/core/ingress_scheduler.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/sparbend/core/broken_runs.cc
+++ b/sparbend/core/interrupted_attempts.cc
@@ -7,7 +7,7 @@
 //
 // A full target may refuse connections and live: one that answers what was sent
 // to it after its end had not ended.
-#include "sparbend/core/broken_runs.h"
+#include "sparbend/core/interrupted_attempts.h"
 
 #include <utility>
 
--- a/sparbend/core/broken_runs.h
+++ b/sparbend/core/interrupted_attempts.h
@@ -8,8 +8,8 @@
 //   back
 //
 // Pure; O(log targets) a call.
-#ifndef SPARBEND_CORE_BROKEN_RUNS_H_
-#define SPARBEND_CORE_BROKEN_RUNS_H_
+#ifndef SPARBEND_CORE_INTERRUPTED_ATTEMPTS_H_
+#define SPARBEND_CORE_INTERRUPTED_ATTEMPTS_H_
 
 #include <map>
 #include <vector>
@@ -60,4 +60,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_CORE_BROKEN_RUNS_H_
+#endif  // SPARBEND_CORE_INTERRUPTED_ATTEMPTS_H_
--- a/sparbend/core/broken_runs_test.cc
+++ b/sparbend/core/interrupted_attempts_test.cc
@@ -1,4 +1,4 @@
-#include "sparbend/core/broken_runs.h"
+#include "sparbend/core/interrupted_attempts.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/sparbend/core/lapsed_targets_test.cc
+++ b/sparbend/core/lapsed_targets_test.cc
@@ -4,7 +4,7 @@
 
 #include <set>
 
-#include "sparbend/core/target_book.h"
+#include "sparbend/core/target_table.h"
 #include "testing/shared_nodes.h"
 
 namespace sparbend {
--- a/sparbend/core/word_exchange.cc
+++ b/sparbend/core/load_report_exchange.cc
@@ -10,7 +10,7 @@
 //
 // Invariant: in a large fleet the books of other boxes' work (Placement,
 // FairShares) have one source, the fleet's sum less this box's own part.
-#include "sparbend/core/word_exchange.h"
+#include "sparbend/core/load_report_exchange.h"
 
 #include <algorithm>
 #include <unordered_map>
--- a/sparbend/core/word_exchange.h
+++ b/sparbend/core/load_report_exchange.h
@@ -11,20 +11,20 @@
 //   for (const Message& message : exchange.Talk(head, urgency, now)) Send(...);
 //
 // Pure.
-#ifndef SPARBEND_CORE_WORD_EXCHANGE_H_
-#define SPARBEND_CORE_WORD_EXCHANGE_H_
+#ifndef SPARBEND_CORE_LOAD_REPORT_EXCHANGE_H_
+#define SPARBEND_CORE_LOAD_REPORT_EXCHANGE_H_
 
 #include <deque>
 #include <map>
 #include <string>
 #include <vector>
 
+#include "sparbend/core/aggregate_parts.h"
 #include "sparbend/core/aggregators.h"
-#include "sparbend/core/entry.h"
-#include "sparbend/core/hall_sums.h"
+#include "sparbend/core/hall_aggregates.h"
+#include "sparbend/core/ingress_scheduler.h"
 #include "sparbend/core/members.h"
 #include "sparbend/core/messages.h"
-#include "sparbend/core/sum_parts.h"
 
 namespace sparbend {
 
@@ -128,4 +128,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_CORE_WORD_EXCHANGE_H_
+#endif  // SPARBEND_CORE_LOAD_REPORT_EXCHANGE_H_
--- a/sparbend/core/word_exchange_test.cc
+++ b/sparbend/core/load_report_exchange_test.cc
@@ -1,6 +1,6 @@
 // What a box believes of sums that it should not: its influence is bounded, and
 // the sender's next true sum makes it good.
-#include "sparbend/core/word_exchange.h"
+#include "sparbend/core/load_report_exchange.h"
 
 #include <algorithm>
 #include <functional>
--- a/sparbend/core/load_book.cc
+++ b/sparbend/core/load_table.cc
@@ -7,7 +7,7 @@
 // A peer tells levels, not changes, so a lost word does no lasting harm. A
 // word older than kTrusted counts for nothing: its box is dead or cut off,
 // and its requests end soon.
-#include "sparbend/core/load_book.h"
+#include "sparbend/core/load_table.h"
 
 #include <algorithm>
 #include <tuple>
--- a/sparbend/core/load_book.h
+++ b/sparbend/core/load_table.h
@@ -4,8 +4,8 @@
 //   book.Start(id, target, load, now); book.FirstByte(id); book.Finish(id);
 //   book.Learn(peer, rows, now);
 //   book.Total(target, now).waiting_tokens
-#ifndef SPARBEND_CORE_LOAD_BOOK_H_
-#define SPARBEND_CORE_LOAD_BOOK_H_
+#ifndef SPARBEND_CORE_LOAD_TABLE_H_
+#define SPARBEND_CORE_LOAD_TABLE_H_
 
 #include <map>
 #include <optional>
@@ -71,4 +71,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_CORE_LOAD_BOOK_H_
+#endif  // SPARBEND_CORE_LOAD_TABLE_H_
--- a/sparbend/core/load_book_test.cc
+++ b/sparbend/core/load_table_test.cc
@@ -1,4 +1,4 @@
-#include "sparbend/core/load_book.h"
+#include "sparbend/core/load_table.h"
 
 #include "testing/properties.h"
 
--- a/sparbend/core/node.h
+++ b/sparbend/core/node.h
@@ -17,15 +17,15 @@
 #include <string>
 #include <vector>
 
-#include "sparbend/core/allocators.h"
-#include "sparbend/core/entry.h"
+#include "sparbend/core/ingress_scheduler.h"
 #include "sparbend/core/leaving_targets.h"
-#include "sparbend/core/ledger.h"
+#include "sparbend/core/load_report_exchange.h"
 #include "sparbend/core/members.h"
 #include "sparbend/core/messages.h"
 #include "sparbend/core/quarantine.h"
-#include "sparbend/core/store_contact.h"
-#include "sparbend/core/word_exchange.h"
+#include "sparbend/core/service_counters.h"
+#include "sparbend/core/slot_allocator.h"
+#include "sparbend/core/store_availability.h"
 
 namespace sparbend {
 
--- a/sparbend/core/placement.cc
+++ b/sparbend/core/placement.cc
@@ -22,7 +22,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "sparbend/core/fair_parts.h"
+#include "sparbend/core/fair_shares.h"
 
 namespace sparbend {
 namespace {
--- a/sparbend/core/placement.h
+++ b/sparbend/core/placement.h
@@ -23,13 +23,13 @@
 #include "sparbend/core/candidates.h"
 #include "sparbend/core/cold_targets.h"
 #include "sparbend/core/engine_model.h"
-#include "sparbend/core/load_book.h"
-#include "sparbend/core/prefix_homes.h"
+#include "sparbend/core/load_table.h"
+#include "sparbend/core/prefix_locations.h"
 #include "sparbend/core/queue.h"
 #include "sparbend/core/service_choice.h"
+#include "sparbend/core/stream_stall_detector.h"
 #include "sparbend/core/target_backoff.h"
 #include "sparbend/core/target_health.h"
-#include "sparbend/core/target_silence.h"
 
 namespace sparbend {
 
--- a/sparbend/core/look_clock.cc
+++ b/sparbend/core/poll_timer.cc
@@ -4,7 +4,7 @@
 //
 // Invariant: a box waits no longer than one and a half times the longest mean,
 // so that a few boxes cut off from all others see a change within that time.
-#include "sparbend/core/look_clock.h"
+#include "sparbend/core/poll_timer.h"
 
 #include <algorithm>
 
--- a/sparbend/core/look_clock.h
+++ b/sparbend/core/poll_timer.h
@@ -5,8 +5,8 @@
 //
 //   PollTimer clock(seed);
 //   if (clock.Due(now)) { clock.Looked(boxes, now); ... }
-#ifndef SPARBEND_CORE_LOOK_CLOCK_H_
-#define SPARBEND_CORE_LOOK_CLOCK_H_
+#ifndef SPARBEND_CORE_POLL_TIMER_H_
+#define SPARBEND_CORE_POLL_TIMER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -45,4 +45,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_CORE_LOOK_CLOCK_H_
+#endif  // SPARBEND_CORE_POLL_TIMER_H_
--- a/sparbend/core/look_clock_test.cc
+++ b/sparbend/core/poll_timer_test.cc
@@ -1,4 +1,4 @@
-#include "sparbend/core/look_clock.h"
+#include "sparbend/core/poll_timer.h"
 
 #include <algorithm>
 #include <vector>
--- a/sparbend/core/prefix_homes.cc
+++ b/sparbend/core/prefix_locations.cc
@@ -1,5 +1,5 @@
 // Invariant: by_use_ holds each key of holders_ once.
-#include "sparbend/core/prefix_homes.h"
+#include "sparbend/core/prefix_locations.h"
 
 #include <algorithm>
 
--- a/sparbend/core/prefix_homes.h
+++ b/sparbend/core/prefix_locations.h
@@ -1,8 +1,8 @@
 // Which targets hold which prompt prefixes in their cache: remembered from
 // what this box sent and what the others told. Bounded; the prefixes unused
 // longest are forgotten first, as the targets themselves do.
-#ifndef SPARBEND_CORE_PREFIX_HOMES_H_
-#define SPARBEND_CORE_PREFIX_HOMES_H_
+#ifndef SPARBEND_CORE_PREFIX_LOCATIONS_H_
+#define SPARBEND_CORE_PREFIX_LOCATIONS_H_
 
 #include <deque>
 #include <list>
@@ -51,4 +51,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_CORE_PREFIX_HOMES_H_
+#endif  // SPARBEND_CORE_PREFIX_LOCATIONS_H_
--- a/sparbend/core/prefix_homes_test.cc
+++ b/sparbend/core/prefix_locations_test.cc
@@ -1,4 +1,4 @@
-#include "sparbend/core/prefix_homes.h"
+#include "sparbend/core/prefix_locations.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/sparbend/core/small_test.cc
+++ b/sparbend/core/small_test.cc
@@ -1,10 +1,10 @@
 // Tables for the small pure pieces: retries, routing, usage, queues, members,
 // the ledger.
-#include "sparbend/core/ledger.h"
 #include "sparbend/core/members.h"
 #include "sparbend/core/queue.h"
 #include "sparbend/core/retry.h"
 #include "sparbend/core/route.h"
+#include "sparbend/core/service_counters.h"
 #include "sparbend/core/usage_meter.h"
 #include "testing/properties.h"
 
--- a/sparbend/core/store_contact.cc
+++ b/sparbend/core/store_availability.cc
@@ -5,7 +5,7 @@
 //
 // Invariant: the span covers no failed call of this box that no peer's span
 // covers.
-#include "sparbend/core/store_contact.h"
+#include "sparbend/core/store_availability.h"
 
 #include <algorithm>
 
--- a/sparbend/core/store_contact.h
+++ b/sparbend/core/store_availability.h
@@ -8,8 +8,8 @@
 //   if (contact.RecordsMayLapse(read_at)) ...  // doubt records that are gone
 //
 // Pure; all calls O(1). Instants are by this box's clock.
-#ifndef SPARBEND_CORE_STORE_CONTACT_H_
-#define SPARBEND_CORE_STORE_CONTACT_H_
+#ifndef SPARBEND_CORE_STORE_AVAILABILITY_H_
+#define SPARBEND_CORE_STORE_AVAILABILITY_H_
 
 #include <optional>
 
@@ -62,4 +62,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_CORE_STORE_CONTACT_H_
+#endif  // SPARBEND_CORE_STORE_AVAILABILITY_H_
--- a/sparbend/core/store_contact_test.cc
+++ b/sparbend/core/store_availability_test.cc
@@ -1,5 +1,5 @@
 // What boxes conclude from calls that fail and from what their peers tell.
-#include "sparbend/core/store_contact.h"
+#include "sparbend/core/store_availability.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/sparbend/core/target_silence.cc
+++ b/sparbend/core/stream_stall_detector.cc
@@ -1,7 +1,7 @@
 // The usual gap and its deviation are followed as TCP follows round trips, so
 // that targets which send seldom are given longer. One stream alone proves
 // little: it may pause for reasons of its own.
-#include "sparbend/core/target_silence.h"
+#include "sparbend/core/stream_stall_detector.h"
 
 #include <algorithm>
 #include <cmath>
--- a/sparbend/core/target_silence.h
+++ b/sparbend/core/stream_stall_detector.h
@@ -8,8 +8,8 @@
 //   if (silence.Quiet(target, now)) ...   // send nothing new there
 //
 // Pure; all calls O(1).
-#ifndef SPARBEND_CORE_TARGET_SILENCE_H_
-#define SPARBEND_CORE_TARGET_SILENCE_H_
+#ifndef SPARBEND_CORE_STREAM_STALL_DETECTOR_H_
+#define SPARBEND_CORE_STREAM_STALL_DETECTOR_H_
 
 #include <unordered_map>
 
@@ -40,4 +40,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_CORE_TARGET_SILENCE_H_
+#endif  // SPARBEND_CORE_STREAM_STALL_DETECTOR_H_
--- a/sparbend/core/target_silence_test.cc
+++ b/sparbend/core/stream_stall_detector_test.cc
@@ -1,4 +1,4 @@
-#include "sparbend/core/target_silence.h"
+#include "sparbend/core/stream_stall_detector.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/sparbend/core/target_births_test.cc
+++ b/sparbend/core/target_restarts_test.cc
@@ -8,7 +8,7 @@
 // known of that name, and a state that nobody knows was taken for leaving.
 #include <vector>
 
-#include "sparbend/core/target_book.h"
+#include "sparbend/core/target_table.h"
 
 #include "testing/properties.h"
 
--- a/sparbend/core/target_book.cc
+++ b/sparbend/core/target_table.cc
@@ -5,7 +5,7 @@
 // delayed on its way may be written after a later one, and would make a target
 // that leaves look ready again. The time of its birth goes before that count,
 // which starts anew with each life.
-#include "sparbend/core/target_book.h"
+#include "sparbend/core/target_table.h"
 
 #include <algorithm>
 #include <tuple>
--- a/sparbend/core/target_book.h
+++ b/sparbend/core/target_table.h
@@ -4,8 +4,8 @@
 //
 //   book.Put(entry, offset, now); book.Drop(key, offset, Removal::kFinal);
 //   if (book.EndLapsed() || changed) use(book.entries(now));
-#ifndef SPARBEND_CORE_TARGET_BOOK_H_
-#define SPARBEND_CORE_TARGET_BOOK_H_
+#ifndef SPARBEND_CORE_TARGET_TABLE_H_
+#define SPARBEND_CORE_TARGET_TABLE_H_
 
 #include <map>
 #include <set>
@@ -73,4 +73,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_CORE_TARGET_BOOK_H_
+#endif  // SPARBEND_CORE_TARGET_TABLE_H_
--- a/sparbend/core/target_book_test.cc
+++ b/sparbend/core/target_table_test.cc
@@ -1,5 +1,5 @@
 // Records that come, go and lapse, in tables of steps.
-#include "sparbend/core/target_book.h"
+#include "sparbend/core/target_table.h"
 
 #include "testing/properties.h"
 
--- a/sparbend/kernel/settings.h
+++ b/sparbend/kernel/settings.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "sparbend/core/entry.h"
+#include "sparbend/core/ingress_scheduler.h"
 #include "sparbend/core/json.h"
 #include "sparbend/core/millis.h"
 #include "sparbend/core/retry.h"
--- a/sparbend/services/admin.h
+++ b/sparbend/services/admin.h
@@ -21,7 +21,7 @@
 #include "sparbend/kernel/settings.h"
 #include "sparbend/services/claims.h"
 #include "sparbend/services/config.h"
-#include "sparbend/services/front.h"
+#include "sparbend/services/frontend.h"
 #include "sparbend/services/metrics.h"
 #include "sparbend/services/scheduler.h"
 
--- a/sparbend/services/accepting.cc
+++ b/sparbend/services/client_acceptor.cc
@@ -1,7 +1,7 @@
 // While callers wait, each pass of Run is one turn of the loop: posting itself
 // puts it behind everything that is ready by then, so that the turns tell how
 // much other work there is.
-#include "sparbend/services/accepting.h"
+#include "sparbend/services/client_acceptor.h"
 
 #include "sparbend/kernel/log.h"
 
--- a/sparbend/services/accepting.h
+++ b/sparbend/services/client_acceptor.h
@@ -5,15 +5,15 @@
 //   Accepting accepting(kernel, metrics, hooks);
 //   if (std::error_code error = accepting.Listen(endpoint)) ...
 //   kernel->Spawn("front-accept", accepting.Run());
-#ifndef SPARBEND_SERVICES_ACCEPTING_H_
-#define SPARBEND_SERVICES_ACCEPTING_H_
+#ifndef SPARBEND_SERVICES_CLIENT_ACCEPTOR_H_
+#define SPARBEND_SERVICES_CLIENT_ACCEPTOR_H_
 
 #include <functional>
 #include <memory>
 #include <string>
 #include <unordered_map>
 
-#include "sparbend/core/intake.h"
+#include "sparbend/core/accept_queue.h"
 #include "sparbend/kernel/http.h"
 #include "sparbend/kernel/kernel.h"
 #include "sparbend/services/metrics.h"
@@ -66,4 +66,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_SERVICES_ACCEPTING_H_
+#endif  // SPARBEND_SERVICES_CLIENT_ACCEPTOR_H_
--- a/sparbend/services/caller.cc
+++ b/sparbend/services/client_stream.cc
@@ -3,7 +3,7 @@
 //
 // The expiry of writes is renewed at most once a second: renewing it for each
 // streamed token would cost more than the write.
-#include "sparbend/services/caller.h"
+#include "sparbend/services/client_stream.h"
 
 #include "sparbend/kernel/socket_peek.h"
 
--- a/sparbend/services/caller.h
+++ b/sparbend/services/client_stream.h
@@ -1,7 +1,7 @@
 // The caller's side of one request: writes the answer, watches for the caller
 // leaving, and makes sure that a broken answer never looks whole.
-#ifndef SPARBEND_SERVICES_CALLER_H_
-#define SPARBEND_SERVICES_CALLER_H_
+#ifndef SPARBEND_SERVICES_CLIENT_STREAM_H_
+#define SPARBEND_SERVICES_CLIENT_STREAM_H_
 
 #include <functional>
 #include <memory>
@@ -65,4 +65,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_SERVICES_CALLER_H_
+#endif  // SPARBEND_SERVICES_CLIENT_STREAM_H_
--- a/sparbend/services/crash_watch.h
+++ b/sparbend/services/crash_watch.h
@@ -6,12 +6,12 @@
 #include <memory>
 #include <set>
 
-#include "sparbend/core/broken_runs.h"
+#include "sparbend/core/interrupted_attempts.h"
 #include "sparbend/kernel/kernel.h"
 #include "sparbend/kernel/settings.h"
 #include "sparbend/services/connections.h"
-#include "sparbend/services/exchange.h"
 #include "sparbend/services/metrics.h"
+#include "sparbend/services/request_context.h"
 #include "sparbend/services/scheduler.h"
 
 namespace sparbend {
--- a/sparbend/services/declarations.h
+++ b/sparbend/services/declarations.h
@@ -8,12 +8,12 @@
 #include <string>
 
 #include "sparbend/core/evacuated_halls.h"
-#include "sparbend/core/look_clock.h"
+#include "sparbend/core/poll_timer.h"
 #include "sparbend/kernel/settings.h"
 #include "sparbend/services/catalog_source.h"
 #include "sparbend/services/dependency.h"
 #include "sparbend/services/directory.h"
-#include "sparbend/services/feed.h"
+#include "sparbend/services/keyed_log.h"
 #include "sparbend/services/peers.h"
 #include "sparbend/services/scheduler.h"
 
--- a/sparbend/services/forward.h
+++ b/sparbend/services/forward.h
@@ -11,8 +11,8 @@
 #include "sparbend/kernel/settings.h"
 #include "sparbend/services/connections.h"
 #include "sparbend/services/crash_watch.h"
-#include "sparbend/services/dialect.h"
-#include "sparbend/services/exchange.h"
+#include "sparbend/services/protocol.h"
+#include "sparbend/services/request_context.h"
 #include "sparbend/services/scheduler.h"
 #include "sparbend/services/target_probe.h"
 
--- a/sparbend/services/front.cc
+++ b/sparbend/services/frontend.cc
@@ -1,7 +1,7 @@
 // Checks come in the order of their cost: connection count, header size,
 // key, queue bounds; only then is the body read, and only then parsed. A
 // request refused with its body unread ends the connection.
-#include "sparbend/services/front.h"
+#include "sparbend/services/frontend.h"
 
 #include "sparbend/core/digest.h"
 #include "sparbend/kernel/log.h"
--- a/sparbend/services/front.h
+++ b/sparbend/services/frontend.h
@@ -1,8 +1,8 @@
 // The service "front": accepts callers, reads and checks their requests, and
 // hands each to the runner. Refuses what is malformed, unknown or too much
 // before it costs anybody else anything.
-#ifndef SPARBEND_SERVICES_FRONT_H_
-#define SPARBEND_SERVICES_FRONT_H_
+#ifndef SPARBEND_SERVICES_FRONTEND_H_
+#define SPARBEND_SERVICES_FRONTEND_H_
 
 #include <memory>
 #include <random>
@@ -12,9 +12,9 @@
 #include "sparbend/kernel/http.h"
 #include "sparbend/kernel/kernel.h"
 #include "sparbend/kernel/settings.h"
-#include "sparbend/services/accepting.h"
 #include "sparbend/services/catalog_source.h"
-#include "sparbend/services/dialect.h"
+#include "sparbend/services/client_acceptor.h"
+#include "sparbend/services/protocol.h"
 #include "sparbend/services/runner.h"
 
 namespace sparbend {
@@ -92,4 +92,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_SERVICES_FRONT_H_
+#endif  // SPARBEND_SERVICES_FRONTEND_H_
--- a/sparbend/services/feed.cc
+++ b/sparbend/services/keyed_log.cc
@@ -1,4 +1,4 @@
-#include "sparbend/services/feed.h"
+#include "sparbend/services/keyed_log.h"
 
 namespace sparbend {
 
--- a/sparbend/services/feed.h
+++ b/sparbend/services/keyed_log.h
@@ -1,8 +1,8 @@
 // What the platform keeps and tells, as typed values: keyed records in the
 // order in which they were written. The folder platform/ fills these hooks;
 // the services "declarations" and "directory" follow them.
-#ifndef SPARBEND_SERVICES_FEED_H_
-#define SPARBEND_SERVICES_FEED_H_
+#ifndef SPARBEND_SERVICES_KEYED_LOG_H_
+#define SPARBEND_SERVICES_KEYED_LOG_H_
 
 #include <functional>
 #include <memory>
@@ -86,4 +86,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_SERVICES_FEED_H_
+#endif  // SPARBEND_SERVICES_KEYED_LOG_H_
--- a/sparbend/services/own_dialect.cc
+++ b/sparbend/services/own_protocol.cc
@@ -1,6 +1,6 @@
 // The workspace comes from the key alone, so it is known before the body is
 // read; the pool is named in the body and is known after.
-#include "sparbend/services/own_dialect.h"
+#include "sparbend/services/own_protocol.h"
 
 #include <charconv>
 #include <variant>
--- a/sparbend/services/own_dialect.h
+++ b/sparbend/services/own_protocol.h
@@ -1,12 +1,12 @@
 // The product's own interface: OpenAI-shaped requests with a bearer key,
 // refusals as problem documents, targets that state X-Not-Run and the like.
-#ifndef SPARBEND_SERVICES_OWN_DIALECT_H_
-#define SPARBEND_SERVICES_OWN_DIALECT_H_
+#ifndef SPARBEND_SERVICES_OWN_PROTOCOL_H_
+#define SPARBEND_SERVICES_OWN_PROTOCOL_H_
 
 #include <memory>
 
 #include "sparbend/kernel/settings.h"
-#include "sparbend/services/dialect.h"
+#include "sparbend/services/protocol.h"
 
 namespace sparbend {
 
@@ -20,4 +20,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_SERVICES_OWN_DIALECT_H_
+#endif  // SPARBEND_SERVICES_OWN_PROTOCOL_H_
--- a/sparbend/services/dialect.h
+++ b/sparbend/services/protocol.h
@@ -2,15 +2,15 @@
 // know only the typed values here; a dialect knows the names on the wire. The
 // service "caller-dialect" reads requests and words refusals, the service
 // "target-dialect" words requests and judges answers.
-#ifndef SPARBEND_SERVICES_DIALECT_H_
-#define SPARBEND_SERVICES_DIALECT_H_
+#ifndef SPARBEND_SERVICES_PROTOCOL_H_
+#define SPARBEND_SERVICES_PROTOCOL_H_
 
 #include <functional>
 #include <optional>
 #include <string>
 
 #include "sparbend/core/verdict.h"
-#include "sparbend/services/exchange.h"
+#include "sparbend/services/request_context.h"
 #include "sparbend/services/scheduler.h"
 
 namespace sparbend {
@@ -64,4 +64,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_SERVICES_DIALECT_H_
+#endif  // SPARBEND_SERVICES_PROTOCOL_H_
--- a/sparbend/services/exchange.cc
+++ b/sparbend/services/request_context.cc
@@ -1,4 +1,4 @@
-#include "sparbend/services/exchange.h"
+#include "sparbend/services/request_context.h"
 
 namespace sparbend {
 
--- a/sparbend/services/exchange.h
+++ b/sparbend/services/request_context.h
@@ -1,7 +1,7 @@
 // One caller's request on its way through the box: what was asked, by whom,
 // under which rules, and what is known of its fate so far.
-#ifndef SPARBEND_SERVICES_EXCHANGE_H_
-#define SPARBEND_SERVICES_EXCHANGE_H_
+#ifndef SPARBEND_SERVICES_REQUEST_CONTEXT_H_
+#define SPARBEND_SERVICES_REQUEST_CONTEXT_H_
 
 #include <functional>
 #include <memory>
@@ -15,7 +15,7 @@
 #include "sparbend/core/retry.h"
 #include "sparbend/core/usage_meter.h"
 #include "sparbend/core/verdict.h"
-#include "sparbend/services/caller.h"
+#include "sparbend/services/client_stream.h"
 
 namespace sparbend {
 
@@ -78,4 +78,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_SERVICES_EXCHANGE_H_
+#endif  // SPARBEND_SERVICES_REQUEST_CONTEXT_H_
--- a/sparbend/services/runner.h
+++ b/sparbend/services/runner.h
@@ -12,9 +12,9 @@
 #include "sparbend/core/retry.h"
 #include "sparbend/kernel/kernel.h"
 #include "sparbend/services/claims.h"
-#include "sparbend/services/exchange.h"
 #include "sparbend/services/forward.h"
 #include "sparbend/services/metrics.h"
+#include "sparbend/services/request_context.h"
 #include "sparbend/services/scheduler.h"
 
 namespace sparbend {
