--- a/sparbend/core/candidates.cc
+++ b/sparbend/core/candidates.cc
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-auto RankOf(uint64_t first, uint64_t second) -> uint64_t {
+auto HashPair(uint64_t first, uint64_t second) -> uint64_t {
   uint64_t mixed = (first << 32 | second) + 0x9e3779b97f4a7c15;
   mixed = (mixed ^ (mixed >> 30)) * 0xbf58476d1ce4e5b9;
   mixed = (mixed ^ (mixed >> 27)) * 0x94d049bb133111eb;
@@ -82,7 +82,7 @@
     std::ranges::sort(pool.always_sampled, std::greater(),
                       [&](const PlacementTarget* target) {
                         return std::pair(target->hall == hall_,
-                                         RankOf(seed_, target->id));
+                                         HashPair(seed_, target->id));
                       });
     pool.always_sampled.resize(
         std::min(pool.always_sampled.size(), kAlwaysSampledTargets));
@@ -174,9 +174,9 @@
   }
   std::ranges::for_each(found->always_sampled, add);
   const uint64_t sample_seed =
-      RankOf(query.request, static_cast<uint64_t>(query.round));
+      HashPair(query.request, static_cast<uint64_t>(query.round));
   for (size_t i = 0; i < kRandomTargets && !found->usable.empty(); ++i)
-    add(found->usable[RankOf(sample_seed >> 32, i) % found->usable.size()]);
+    add(found->usable[HashPair(sample_seed >> 32, i) % found->usable.size()]);
   return list.empty() ? All(pool, query, permitted) : list;
 }
 
@@ -191,7 +191,7 @@
   uint64_t highest_rank = 0;
   for (const PlacementTarget* target :
        found->usable.empty() ? found->not_excluded : found->usable) {
-    const uint64_t rank = RankOf(key, target->id);
+    const uint64_t rank = HashPair(key, target->id);
     if (permitted(target->hall) &&
         (highest == nullptr || rank > highest_rank)) {
       highest = target;
--- a/sparbend/core/candidates.h
+++ b/sparbend/core/candidates.h
@@ -35,7 +35,7 @@
 
 // Hashes a pair of numbers. The result is uniform enough for rendezvous
 // hashing, and the same in all boxes.
-auto RankOf(uint64_t first, uint64_t second) -> uint64_t;
+auto HashPair(uint64_t first, uint64_t second) -> uint64_t;
 
 class Candidates {
  public:
--- a/sparbend/core/catalog.h
+++ b/sparbend/core/catalog.h
@@ -36,7 +36,7 @@
   int64_t tokens_per_event = 1;     // of a stream, engines only
   // Tokens of cached prompts that engines hand to each other in a
   // millisecond, as declared; 0: they can't.
-  double moved_tokens_per_ms = 0;
+  double kv_transfer_tokens_per_ms = 0;
   // Requests a second that a target bears while it is cold; 0: none is cold.
   double cold_requests_per_s = 0;
 
--- a/sparbend/core/cold_targets.cc
+++ b/sparbend/core/cold_targets.cc
@@ -60,10 +60,10 @@
 
 // True if fewer than kSendersPerTarget boxes rank above this one.
 auto ColdTargets::IsSender(TargetId target) const -> bool {
-  const uint64_t own_rank = RankOf(self_, target);
+  const uint64_t own_rank = HashPair(self_, target);
   size_t higher_ranked = 0;
   for (const BoxId box : boxes_) {
-    if (box != self_ && RankOf(box, target) > own_rank &&
+    if (box != self_ && HashPair(box, target) > own_rank &&
         ++higher_ranked >= kSendersPerTarget)
       return false;
   }
--- a/sparbend/core/hall_aggregates.cc
+++ b/sparbend/core/hall_aggregates.cc
@@ -135,7 +135,7 @@
   sum.kind = DatagramKind::kHallAggregate;
   sum.sum.boxes = static_cast<uint32_t>(boxes_.size());
   sum.members = Members();
-  sum.loads = near_.loads.ToldRows();
+  sum.loads = near_.loads.PeerRows();
   sum.services = near_.served.ToldValues(now);
   sum.denials = near_.denied.ToldValues(now);
   sum.homes = Homes(true);
@@ -147,7 +147,7 @@
   sum.kind = DatagramKind::kFleetAggregate;
   for (const auto& [hall, known] : halls_)
     sum.sum.boxes += known.boxes;
-  sum.loads = AddLoads(sum.loads, far_.loads.ToldRows());
+  sum.loads = AddLoads(sum.loads, far_.loads.PeerRows());
   sum.services = AddValues(sum.services, far_.served.ToldValues(now));
   sum.denials = AddValues(sum.denials, far_.denied.ToldValues(now));
   sum.homes = Homes(false);
--- a/sparbend/core/ingress_scheduler.cc
+++ b/sparbend/core/ingress_scheduler.cc
@@ -69,7 +69,7 @@
   std::map<PoolId, PoolLimits> limits;
   for (const auto& [name, pool] : catalog_->pools()) {
     limits[PoolIdOf(name)] = {pool.memory_tokens, pool.connections,
-                              pool.moved_tokens_per_ms,
+                              pool.kv_transfer_tokens_per_ms,
                               pool.cold_requests_per_s};
     if (pool.kind == PoolKind::kEngine)
       fair_parts_.SetCapacity(PoolIdOf(name),
--- a/sparbend/core/ingress_scheduler_shared.cc
+++ b/sparbend/core/ingress_scheduler_shared.cc
@@ -45,14 +45,14 @@
               std::to_string(standing.judged) + ", may take " +
               std::to_string(standing.ceiling) + ", is owed " +
               std::to_string(standing.owed),
-          placement_.Relief(flow.pool, now)};
+          placement_.EstimatedWait(flow.pool, now)};
 }
 
 auto IngressScheduler::AllBackOff(Flow flow, Millis now) const
     -> std::optional<Millis> {
   if (policy_ != Policy::kShared || placement_.backoff().empty())
     return std::nullopt;
-  return placement_.AllBackOff(
+  return placement_.BackoffRemaining(
       flow.pool, [&](const std::string& hall) { return Permitted(flow, hall); },
       now);
 }
@@ -150,7 +150,7 @@
   const auto found = queues_.queues().find(flow);
   const double excess = fair_parts_.Excess(flow, now);
   if (found == queues_.queues().end() ||
-      (excess >= 1 && !placement_.AnySpare(flow.pool, excess, now)))
+      (excess >= 1 && !placement_.HasSpareCapacity(flow.pool, excess, now)))
     return std::nullopt;
   const auto& waiting = found->second;
   const size_t count = std::min({waiting.size(), kScanned, *tries});
--- a/sparbend/core/load_report_exchange.cc
+++ b/sparbend/core/load_report_exchange.cc
@@ -255,7 +255,7 @@
   word.heartbeat = ++words_;
   word.sequence = ++sequence_;
   word.loads = entry_->placement().loads().OwnRows();
-  word.homes = entry_->placement().homes().Recent(now);
+  word.homes = entry_->placement().prefix_locations().Recent(now);
   word.services = entry_->fair_parts().OwnServed(kUsagesPerWord, now);
   word.denials = entry_->fair_parts().OwnDenied(kDenialsPerWord, now);
   if (summing_) {
--- a/sparbend/core/load_table.cc
+++ b/sparbend/core/load_table.cc
@@ -91,7 +91,7 @@
   peer_totals_.clear();
 }
 
-auto LoadTable::ToldRows() const -> std::vector<TargetLoad> {
+auto LoadTable::PeerRows() const -> std::vector<TargetLoad> {
   std::vector<TargetLoad> rows;
   rows.reserve(peer_totals_.size());
   for (const auto& [target, load] : peer_totals_) {
--- a/sparbend/core/load_table.h
+++ b/sparbend/core/load_table.h
@@ -43,7 +43,7 @@
   // Drops all reports.
   void ClearPeerReports();
   // Sum of all reports that count, one row per target, without the own load.
-  auto ToldRows() const -> std::vector<TargetLoad>;
+  auto PeerRows() const -> std::vector<TargetLoad>;
 
   // Own load plus the load that peers reported. O(1), since it is called for
   // each candidate of each request.
--- a/sparbend/core/placement.cc
+++ b/sparbend/core/placement.cc
@@ -125,9 +125,9 @@
   candidates_.Invalidate();
 }
 
-auto Placement::AllBackOff(PoolId pool,
-                           const Permitted& permitted,
-                           Millis now) const -> std::optional<Millis> {
+auto Placement::BackoffRemaining(PoolId pool,
+                                 const Permitted& permitted,
+                                 Millis now) const -> std::optional<Millis> {
   const auto targets = candidates_.by_pool().find(pool);
   if (backoff_.empty() || targets == candidates_.by_pool().end())
     return std::nullopt;
@@ -248,8 +248,9 @@
          queue_ms * fair_share_ratio <= kMaxSpareQueueMs;
 }
 
-auto Placement::AnySpare(PoolId pool, double fair_share_ratio, Millis now) const
-    -> bool {
+auto Placement::HasSpareCapacity(PoolId pool,
+                                 double fair_share_ratio,
+                                 Millis now) const -> bool {
   const std::optional<double> shortest =
       RefreshedCandidates(now).MinSpareQueueMs(pool);
   return shortest &&
@@ -497,7 +498,7 @@
   sent_estimates_.erase(sent);
 }
 
-auto Placement::Relief(PoolId pool, Millis now) const -> Millis {
+auto Placement::EstimatedWait(PoolId pool, Millis now) const -> Millis {
   constexpr double kMinWaitMs = 200;
   constexpr double kMaxWaitMs = 1'500;
   const double shortest =
--- a/sparbend/core/placement.h
+++ b/sparbend/core/placement.h
@@ -57,7 +57,7 @@
   int64_t queued_tokens = 0;    // of other prompts, to be read before it
   bool in_time = true;          // the estimate meets the request's objective
   // Service of the flow in multiples of its fair share; zero for services.
-  double excess = 0;
+  double fair_share_ratio = 0;
   // The engine that transfers its cached part of the prompt to the target;
   // zero: none.
   TargetId fetch_from = 0;
@@ -109,7 +109,8 @@
               Millis now) const -> std::optional<Choice>;
   // Whether any target of `pool` has spare capacity for a flow with that ratio.
   // If none has, Choose returns nothing for all requests of the flow.
-  auto AnySpare(PoolId pool, double fair_share_ratio, Millis now) const -> bool;
+  auto HasSpareCapacity(PoolId pool, double fair_share_ratio, Millis now) const
+      -> bool;
   void Start(const QueuedRequest& request, const Choice& choice, Millis now);
   // Records that bytes of the request's answer arrived, the first or later
   // ones.
@@ -126,17 +127,20 @@
   auto backoff() const -> const TargetBackoff& { return backoff_; }
   // If all targets of `pool` in permitted halls are backing off: the time until
   // the first of them accepts requests again. Otherwise nothing.
-  auto AllBackOff(PoolId pool, const Permitted& permitted, Millis now) const
-      -> std::optional<Millis>;
+  auto BackoffRemaining(PoolId pool,
+                        const Permitted& permitted,
+                        Millis now) const -> std::optional<Millis>;
   // Estimated time until a request that is refused now may find room.
-  auto Relief(PoolId pool, Millis now) const -> Millis;
+  auto EstimatedWait(PoolId pool, Millis now) const -> Millis;
 
   // Drops load reports that are too old to count.
   void Expire(Millis now) { loads_.Expire(now); }
   // Drops all loads that other boxes reported.
   void ClearPeerReports() { loads_.ClearPeerReports(); }
   auto loads() const -> const LoadTable& { return loads_; }
-  auto homes() const -> const PrefixLocations& { return prefix_locations_; }
+  auto prefix_locations() const -> const PrefixLocations& {
+    return prefix_locations_;
+  }
   void UpdateFromPeer(BoxId from,
                       const std::vector<TargetLoad>& loads,
                       const std::vector<PrefixLocation>& locations,
--- a/sparbend/core/target_backoff.cc
+++ b/sparbend/core/target_backoff.cc
@@ -32,7 +32,7 @@
   if (span <= Millis(0))
     return;
   const uint64_t spread =
-      RankOf(seed_, target) %
+      HashPair(seed_, target) %
       (static_cast<uint64_t>(span.count()) * kSpreadPercent / 100 + 1);
   State& state = states_[target];
   if (now >= state.until) {
--- a/sparbend/services/runner.cc
+++ b/sparbend/services/runner.cc
@@ -188,7 +188,8 @@
        {"prefix",
         exchange.work.prefixes.empty() ? 0 : exchange.work.prefixes.back().id},
        {"excess",
-        std::lround(std::min(slot.choice.excess, kMostExcess) * kPercent)},
+        std::lround(std::min(slot.choice.fair_share_ratio, kMostExcess) *
+                    kPercent)},
        {"in_time", slot.choice.in_time}});
 }
 
