--- a/sparbend/core/candidates.cc
+++ b/sparbend/core/candidates.cc
@@ -1,15 +1,15 @@
 // Under load each waiting request chooses a target again every few
 // milliseconds. Comparing all targets of a pool each time takes most of the
-// processor time of a box with an eighth of a core once a pool has some hundred
-// targets. The best of a small sample is nearly as good as the best of all,
-// provided that the sample always holds the targets that matter most: those
-// that have the request's prefix cached, and the one with the highest rank for
-// that prefix.
+// processor time of a box with an eighth of a core if the pool has 320 targets.
+// The best of a small sample is nearly as good as the best of all, provided
+// that the sample always holds the targets that matter most: those that have
+// the request's prefix cached, and the one with the highest rank for that
+// prefix.
 //
 // The rest of a sample consists of two groups. Some targets of the box's own
 // hall are in every sample of that box, so that its connections to them are
-// reused. Others are drawn from all halls again for each request and round, so
-// that free capacity anywhere is found soon and boxes do not all choose the
+// reused. Others are drawn at random from all halls for each request and round,
+// so that free capacity anywhere is found soon and boxes do not all choose the
 // same targets.
 //
 // Invariant: pools_ and by_id_ point into by_pool_, which only SetTargets
--- a/sparbend/core/candidates.h
+++ b/sparbend/core/candidates.h
@@ -23,12 +23,13 @@
 
 namespace sparbend {
 
+// What the choice of a target needs to know of each target.
 struct PlacementTarget {
   TargetId id = 0;
   PoolId pool = 0;
   std::string hall;
-  int slots = 1;
-  bool leaving = false;
+  int slots = 1;         // requests that may run there at once
+  bool leaving = false;  // gets no new requests
 
   auto operator==(const PlacementTarget&) const -> bool = default;
 };
@@ -64,8 +65,8 @@
   Candidates(Candidates&&) = default;
   auto operator=(Candidates&&) -> Candidates& = default;
 
-  // A seed that differs between boxes: each box always samples targets of its
-  // own.
+  // Sets a seed that differs between boxes, so that the targets that are in
+  // every sample differ too.
   void SetSeed(uint64_t seed);
   void SetTargets(std::vector<PlacementTarget> targets);
   auto by_pool() const
@@ -129,6 +130,7 @@
   std::map<PoolId, std::vector<PlacementTarget>> by_pool_;
   std::map<PoolId, Pool> pools_;
   std::unordered_map<TargetId, const PlacementTarget*> by_id_;
+  // Targets that were excluded or not usable at the last Refresh.
   std::set<TargetId> unusable_;
   std::optional<Millis> refreshed_at_;
 };
--- a/sparbend/core/placement.h
+++ b/sparbend/core/placement.h
@@ -85,12 +85,12 @@
   void SetBoxes(BoxId self, std::vector<BoxId> boxes) {
     cold_targets_.SetBoxes(self, std::move(boxes));
   }
-  // The target reported that it is cold until `until`.
+  // Records that the target reported to be cold until `until`.
   void SetCold(TargetId target, Millis until) {
     cold_targets_.SetCold(target, until);
   }
-  // The target may have restarted or become cold, and its report of that may
-  // not have arrived yet.
+  // Treats the target as cold for a while: it may have restarted or become
+  // cold, and its report of that may not have arrived yet.
   void SuspectCold(TargetId target, Millis now);
   // Sets the number of boxes, this one included, that share the connections to
   // a target.
@@ -111,17 +111,20 @@
   // If none has, Choose returns nothing for all requests of the flow.
   auto HasSpareCapacity(PoolId pool, double fair_share_ratio, Millis now) const
       -> bool;
+  // Records that the request was sent to the chosen target.
   void Start(const QueuedRequest& request, const Choice& choice, Millis now);
   // Records that bytes of the request's answer arrived, the first or later
   // ones.
   void OnBytes(RequestId id, Millis now);
+  // Records that the request has ended, complete or not.
   void Finish(RequestId id);
   // Records the outcome of a request or connection. Returns true if the target
   // is ejected from now on.
   auto OnOutcome(TargetId target, TargetOutcome outcome, Millis now) -> bool;
   // Records that a connection to a formerly unreachable target could be made.
   void OnReachable(TargetId target, Millis now);
-  // The target refused a request and asked this box to send none for `delay`.
+  // Records that the target refused a request and asked this box to send none
+  // for `delay`.
   void OnRetryAfter(TargetId target, Millis delay, Millis now);
   auto backoff() -> TargetBackoff& { return backoff_; }
   auto backoff() const -> const TargetBackoff& { return backoff_; }
@@ -141,6 +144,8 @@
   auto prefix_locations() const -> const PrefixLocations& {
     return prefix_locations_;
   }
+  // Replaces the loads of box `from` by those of its newest full report, and
+  // adds its new prefix locations.
   void UpdateFromPeer(BoxId from,
                       const std::vector<TargetLoad>& loads,
                       const std::vector<PrefixLocation>& locations,
@@ -201,7 +206,7 @@
                     int64_t cached_tokens,
                     const CachedPrefix& source,
                     Millis now) const -> std::optional<Estimate>;
-  // Whether a flow with that ratio may use the engine in that way.
+  // Whether a flow with that ratio may use the engine as `preference` says.
   static auto IsAcceptable(const Estimate& estimate,
                            Preference preference,
                            double fair_share_ratio) -> bool;
--- a/sparbend/core/service_choice.cc
+++ b/sparbend/core/service_choice.cc
@@ -29,7 +29,7 @@
 constexpr double kSuccessExponent = 3;
 constexpr double kMinWeight = 1e-6;
 
-// Uniform in (0, 1], by a hash of the request and target.
+// Uniform in (0, 1], from 53 bits of a hash of the request and target.
 auto UniformRandom(uint64_t request, TargetId target) -> double {
   uint64_t mixed =
       (request << 32 ^ request >> 32 ^ target) + 0x9e3779b97f4a7c15;
