--- a/sparbend/core/cold_targets_test.cc
+++ b/sparbend/core/cold_targets_test.cc
@@ -34,8 +34,8 @@
   int outdated_boxes;
   // Number of dead boxes.
   int dead_boxes;
-  double min_rate_share;  // share of the sustained rate that targets get on
-                          // average
+  // Least share of the sustained rate that targets get on average.
+  double min_rate_share;
 };
 
 struct Rates {
@@ -43,7 +43,8 @@
   double mean_per_second = 0;
 };
 
-// Simulates boxes that send whenever they may.
+// Simulates boxes that send to all targets whenever they may. Returns the most
+// requests that a target got within a second, and the mean over all targets.
 auto SimulateOverload(const Row& row) -> Rates {
   std::vector<BoxId> all;
   for (int i = 0; i < row.boxes; ++i)
--- a/sparbend/core/placement.cc
+++ b/sparbend/core/placement.cc
@@ -71,10 +71,10 @@
 // for probes, and for errors in the count of boxes.
 constexpr double kConnectionShare = 0.8;
 
-// Upper estimate of the time until a target's restart or cold state is known
-// here: its heartbeat takes up to 1.2 s, and on average reading it takes 0.85 s
-// and the report to other boxes 0.45 s.
-constexpr Millis kMaxColdReportDelay = Millis(2'500);
+// Time until a target's restart or cold state is known here: its heartbeat
+// takes up to 1.2 s, and on average reading it takes 0.85 s and the report to
+// other boxes 0.45 s.
+constexpr Millis kColdReportDelay = Millis(2'500);
 // A target that crashed accepts no connection for longer than this.
 constexpr Millis kMinRestartTime = Millis(1'000);
 // Interval after which a waiting request gets another sample of targets. Equals
@@ -144,7 +144,7 @@
 }
 
 void Placement::SuspectCold(TargetId target, Millis now) {
-  cold_targets_.SetCold(target, now + kMaxColdReportDelay);
+  cold_targets_.SetCold(target, now + kColdReportDelay);
   candidates_.Invalidate();
 }
 
--- a/sparbend/core/service_fleet_test.cc
+++ b/sparbend/core/service_fleet_test.cc
@@ -27,8 +27,8 @@
 struct Scenario {
   const char* name;
   int boxes;
-  std::vector<int> slots;  // of each target; halls are assigned in turn
-  int halls;
+  std::vector<int> slots;   // of each target
+  int halls;                // boxes and targets are assigned to them in turn
   double slot_utilisation;  // share of all slots that requests need on average
   double min_share_in_time;
 };
