--- a/sparbend/core/first_try_test.cc
+++ b/sparbend/core/first_try_test.cc
@@ -65,13 +65,14 @@
 // to the longest wait that was stated.
 TEST(FirstTries, ElapsedIsBoundedForRandomWaits) {
   testing::CheckHolds("elapsed time is bounded", [] {
-    FirstTries attempts;
+    FirstTries random_attempts;
     const auto stated_waits = *rc::gen::container<std::vector<int64_t>>(
         rc::gen::inRange<int64_t>(0, 100'000'000));
     int64_t max_wait = 0;
     for (const int64_t remaining : stated_waits) {
       max_wait = std::max(max_wait, remaining);
-      const int64_t elapsed = attempts.Elapsed("r", Millis(remaining)).count();
+      const int64_t elapsed =
+          random_attempts.Elapsed("r", Millis(remaining)).count();
       RC_ASSERT(elapsed >= 0);
       RC_ASSERT(elapsed + remaining <= std::max(max_wait, remaining));
     }
