--- a/sparbend/core/first_try.cc
+++ b/sparbend/core/client_wait_estimator.cc
@@ -3,7 +3,7 @@
 // must not make all others look like retries. It is valid only while enough
 // attempts state about that wait; where each client states a different one, the
 // usual wait is unknown and every attempt is taken for a first attempt.
-#include "sparbend/core/first_try.h"
+#include "sparbend/core/client_wait_estimator.h"
 
 #include <algorithm>
 #include <vector>
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-auto FirstTries::UsualWait(const StatedWaits& waits) -> Millis {
+auto ClientWaitEstimator::UsualWait(const StatedWaits& waits) -> Millis {
   if (waits.size() < kMinWaits)
     return Millis(0);
   std::vector<Millis> sorted(waits.begin(), waits.end());
@@ -44,7 +44,8 @@
                                                                 : Millis(0);
 }
 
-auto FirstTries::Elapsed(const std::string& route, Millis remaining) -> Millis {
+auto ClientWaitEstimator::Elapsed(const std::string& route, Millis remaining)
+    -> Millis {
   if (waits_by_route_.size() >= kMaxRoutes && !waits_by_route_.contains(route))
     waits_by_route_.clear();
   StatedWaits& waits = waits_by_route_[route];
--- a/sparbend/core/first_try.h
+++ b/sparbend/core/client_wait_estimator.h
@@ -4,14 +4,14 @@
 // derived from its recent attempts; an attempt's time elapsed is the usual wait
 // minus the wait that it states.
 //
-//   FirstTries attempts;
+//   ClientWaitEstimator attempts;
 //   due = now - attempts.Elapsed(route, remaining) + objective;
 //
 // Does no I/O and reads no clock. A client that states less time than others on
 // its route is taken for one that retries; a wrong statement only affects the
 // client that makes it.
-#ifndef SPARBEND_CORE_FIRST_TRY_H_
-#define SPARBEND_CORE_FIRST_TRY_H_
+#ifndef SPARBEND_CORE_CLIENT_WAIT_ESTIMATOR_H_
+#define SPARBEND_CORE_CLIENT_WAIT_ESTIMATOR_H_
 
 #include <cstddef>
 #include <deque>
@@ -22,7 +22,7 @@
 
 namespace sparbend {
 
-class FirstTries {
+class ClientWaitEstimator {
  public:
   // Records an attempt on `route` whose client will wait for another
   // `remaining`, and returns how long the client has been retrying; zero while
@@ -40,4 +40,4 @@
 
 }  // namespace sparbend
 
-#endif  // SPARBEND_CORE_FIRST_TRY_H_
+#endif  // SPARBEND_CORE_CLIENT_WAIT_ESTIMATOR_H_
--- a/sparbend/core/first_try_test.cc
+++ b/sparbend/core/client_wait_estimator_test.cc
@@ -1,14 +1,14 @@
 // Which attempts are taken for first attempts, given the waits that clients
 // state.
-#include "sparbend/core/first_try.h"
+#include "sparbend/core/client_wait_estimator.h"
 
 #include "testing/properties.h"
 
 namespace sparbend {
 namespace {
 
-TEST_GROUP(FirstTries) {
-  FirstTries attempts;
+TEST_GROUP(ClientWaitEstimator) {
+  ClientWaitEstimator attempts;
   void Record(const std::vector<int64_t>& stated_waits, int rounds) {
     for (int i = 0; i < rounds; ++i) {
       for (const int64_t remaining : stated_waits)
@@ -17,7 +17,7 @@
   }
 };
 
-TEST(FirstTries, ElapsedIsTheUsualWaitMinusTheStatedWait) {
+TEST(ClientWaitEstimator, ElapsedIsTheUsualWaitMinusTheStatedWait) {
   struct Case {
     const char* what;
     std::vector<int64_t> stated_waits;  // recorded before, in several rounds
@@ -40,7 +40,7 @@
        0},
   };
   for (const Case& row : cases) {
-    attempts = FirstTries();
+    attempts = ClientWaitEstimator();
     Record(row.stated_waits, 12);
     LONGS_EQUAL_TEXT(row.elapsed,
                      attempts.Elapsed("r", Millis(row.remaining)).count(),
@@ -48,13 +48,13 @@
   }
 }
 
-TEST(FirstTries, ElapsedIsZeroForARouteWithoutHistory) {
+TEST(ClientWaitEstimator, ElapsedIsZeroForARouteWithoutHistory) {
   Record({15'000}, 3);
   LONGS_EQUAL(0, attempts.Elapsed("r", Millis(1'000)).count());
   LONGS_EQUAL(0, attempts.Elapsed("other", Millis(1'000)).count());
 }
 
-TEST(FirstTries, UsualWaitFollowsAChange) {
+TEST(ClientWaitEstimator, UsualWaitFollowsAChange) {
   Record({15'000}, 64);
   Record({3'000}, 64);
   LONGS_EQUAL(0, attempts.Elapsed("r", Millis(3'000)).count());
@@ -63,9 +63,9 @@
 
 // For random waits, the elapsed time is not negative and at most the difference
 // to the longest wait that was stated.
-TEST(FirstTries, ElapsedIsBoundedForRandomWaits) {
+TEST(ClientWaitEstimator, ElapsedIsBoundedForRandomWaits) {
   testing::CheckHolds("elapsed time is bounded", [] {
-    FirstTries random_attempts;
+    ClientWaitEstimator random_attempts;
     const auto stated_waits = *rc::gen::container<std::vector<int64_t>>(
         rc::gen::inRange<int64_t>(0, 100'000'000));
     int64_t max_wait = 0;
--- a/sparbend/core/ingress_scheduler.cc
+++ b/sparbend/core/ingress_scheduler.cc
@@ -244,7 +244,7 @@
     -> bool {
   const TargetId id = target.view.id;
   if (policy_ == Policy::kIndependent || policy_ == Policy::kLeases ||
-      leases_.Keep(id) || leases_.MeantFor(id, flow.workspace))
+      leases_.Keep(id) || leases_.IsReservedFor(id, flow.workspace))
     return true;
   if (policy_ == Policy::kGrants || !target.allocator)
     return false;
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -340,7 +340,7 @@
     allocators_.OnDemand(self, demand, now);
   allocators_.Run(now);
   entry_.RenewLeases(self, now);
-  entry_.OnFloors(self, allocators_.Floors());
+  entry_.OnFloors(self, allocators_.SlotKeepLimits());
   for (const LeaseNotice& lease : allocators_.Notices(self, false))
     entry_.OnNotice(self, lease, now);
 }
@@ -439,7 +439,7 @@
   if (options_.policy == Policy::kIndependent)
     return datagram;
   datagram.leases = allocators_.Notices(to, whole);
-  datagram.floors = allocators_.Floors();
+  datagram.floors = allocators_.SlotKeepLimits();
   datagram.reports = entry_.Reports(to, whole);
   datagram.demands = entry_.Demands(to, whole);
   const size_t refresh = whole ? kRefreshPerRepeat : 0;
--- a/sparbend/core/retry.cc
+++ b/sparbend/core/retry.cc
@@ -44,7 +44,7 @@
     retries_.pop_front();
 }
 
-void FleetRetryBudget::OnFresh(Millis now) {
+void FleetRetryBudget::OnFirstAttempt(Millis now) {
   DropExpired(now);
   first_attempts_.push_back(now);
 }
@@ -60,7 +60,7 @@
   return true;
 }
 
-void RetryBudget::OnFresh() {
+void RetryBudget::OnFirstAttempt() {
   available_tenths_ =
       std::min(kMaxTenths, available_tenths_ + kTenthsPerFirstAttempt);
 }
--- a/sparbend/core/retry.h
+++ b/sparbend/core/retry.h
@@ -2,7 +2,7 @@
 // pure functions and counters: the calling code counts attempts and waits.
 //
 //   RetryBudget budget;  // one per workspace and box
-//   budget.OnFresh();    // at the first attempt of each request
+//   budget.OnFirstAttempt();    // at the first attempt of each request
 //   if (MayRetry(attempt) && budget.Take())
 //     ...  // wait for Backoff(attempts, random), then send it again
 #ifndef SPARBEND_CORE_RETRY_H_
@@ -59,7 +59,7 @@
   explicit FleetRetryBudget(Limits limits) : limits_(limits) {}
 
   // Records the first attempt of a request.
-  void OnFresh(Millis now);
+  void OnFirstAttempt(Millis now);
   // Takes one retry from this box's part, where the fleet has `boxes` boxes;
   // false if the part is used up.
   auto Take(int boxes, Millis now) -> bool;
@@ -77,7 +77,7 @@
 class RetryBudget {
  public:
   // Records the first attempt of a request.
-  void OnFresh();
+  void OnFirstAttempt();
   // Takes one retry from the budget; false if it is used up.
   auto Take() -> bool;
 
--- a/sparbend/core/retry_fleet_test.cc
+++ b/sparbend/core/retry_fleet_test.cc
@@ -15,7 +15,7 @@
   for (int box = 0; box < kBoxes; ++box) {
     FleetRetryBudget budget(limits);
     for (int i = 0; i < 10 * (box + 1); ++i, ++requests)
-      budget.OnFresh(Millis(i));
+      budget.OnFirstAttempt(Millis(i));
     while (budget.Take(kBoxes, Millis(500)))
       ++retries;
     CHECK(budget.Take(kBoxes, Millis(11'000)));  // the window has passed
--- a/sparbend/core/small_test.cc
+++ b/sparbend/core/small_test.cc
@@ -49,7 +49,7 @@
   RetryBudget budget;
   int retries = 0;
   for (int i = 0; i < 1'000; ++i) {
-    budget.OnFresh();
+    budget.OnFirstAttempt();
     while (budget.Take())
       ++retries;
   }
--- a/sparbend/services/runner.cc
+++ b/sparbend/services/runner.cc
@@ -66,12 +66,12 @@
 
 void Runner::CountFresh(const RequestContext& exchange) {
   if (settings_.retry_limits.window <= Millis(0)) {
-    budgets_[exchange.workspace->name].OnFresh();
+    budgets_[exchange.workspace->name].OnFirstAttempt();
     return;
   }
   const auto [budget, added] =
       fleet_budgets_.try_emplace(exchange.pool->name, settings_.retry_limits);
-  budget->second.OnFresh(kernel_->Now());
+  budget->second.OnFirstAttempt(kernel_->Now());
 }
 
 auto Runner::TakeBudget(const RequestContext& exchange) -> bool {
