--- a/sparbend/core/client_wait_estimator.h
+++ b/sparbend/core/client_wait_estimator.h
@@ -1,11 +1,11 @@
 // Estimates how long a client has been retrying a request. A client that is
 // refused retries under a new request id, but the time that it says it will
 // still wait shrinks from attempt to attempt. The usual full wait of a route is
-// derived from its recent attempts; an attempt's time elapsed is the usual wait
-// minus the wait that it states.
+// derived from its recent attempts; the time elapsed before an attempt is the
+// usual wait minus the wait that the attempt states.
 //
-//   ClientWaitEstimator attempts;
-//   due = now - attempts.Elapsed(route, remaining) + objective;
+//   ClientWaitEstimator estimator;
+//   due = now - estimator.Elapsed(route, remaining) + objective;
 //
 // Does no I/O and reads no clock. A client that states less time than others on
 // its route is taken for one that retries; a wrong statement only affects the
--- a/sparbend/core/client_wait_estimator_test.cc
+++ b/sparbend/core/client_wait_estimator_test.cc
@@ -8,11 +8,11 @@
 namespace {
 
 TEST_GROUP(ClientWaitEstimator) {
-  ClientWaitEstimator attempts;
+  ClientWaitEstimator estimator;
   void Record(const std::vector<int64_t>& stated_waits, int rounds) {
     for (int i = 0; i < rounds; ++i) {
       for (const int64_t remaining : stated_waits)
-        attempts.Elapsed("r", Millis(remaining));
+        estimator.Elapsed("r", Millis(remaining));
     }
   }
 };
@@ -40,39 +40,39 @@
        0},
   };
   for (const Case& row : cases) {
-    attempts = ClientWaitEstimator();
+    estimator = ClientWaitEstimator();
     Record(row.stated_waits, 12);
     LONGS_EQUAL_TEXT(row.elapsed,
-                     attempts.Elapsed("r", Millis(row.remaining)).count(),
+                     estimator.Elapsed("r", Millis(row.remaining)).count(),
                      row.what);
   }
 }
 
 TEST(ClientWaitEstimator, ElapsedIsZeroForARouteWithoutHistory) {
   Record({15'000}, 3);
-  LONGS_EQUAL(0, attempts.Elapsed("r", Millis(1'000)).count());
-  LONGS_EQUAL(0, attempts.Elapsed("other", Millis(1'000)).count());
+  LONGS_EQUAL(0, estimator.Elapsed("r", Millis(1'000)).count());
+  LONGS_EQUAL(0, estimator.Elapsed("other", Millis(1'000)).count());
 }
 
 TEST(ClientWaitEstimator, UsualWaitFollowsAChange) {
   Record({15'000}, 64);
   Record({3'000}, 64);
-  LONGS_EQUAL(0, attempts.Elapsed("r", Millis(3'000)).count());
-  LONGS_EQUAL(500, attempts.Elapsed("r", Millis(2'500)).count());
+  LONGS_EQUAL(0, estimator.Elapsed("r", Millis(3'000)).count());
+  LONGS_EQUAL(500, estimator.Elapsed("r", Millis(2'500)).count());
 }
 
 // For random waits, the elapsed time is not negative and at most the difference
 // to the longest wait that was stated.
 TEST(ClientWaitEstimator, ElapsedIsBoundedForRandomWaits) {
   testing::CheckHolds("elapsed time is bounded", [] {
-    ClientWaitEstimator random_attempts;
+    ClientWaitEstimator random_estimator;
     const auto stated_waits = *rc::gen::container<std::vector<int64_t>>(
         rc::gen::inRange<int64_t>(0, 100'000'000));
     int64_t max_wait = 0;
     for (const int64_t remaining : stated_waits) {
       max_wait = std::max(max_wait, remaining);
       const int64_t elapsed =
-          random_attempts.Elapsed("r", Millis(remaining)).count();
+          random_estimator.Elapsed("r", Millis(remaining)).count();
       RC_ASSERT(elapsed >= 0);
       RC_ASSERT(elapsed + remaining <= std::max(max_wait, remaining));
     }
--- a/sparbend/core/overload.cc
+++ b/sparbend/core/overload.cc
@@ -18,8 +18,7 @@
 constexpr double kMaxSampleMs = 120;
 // A tenth of the tightest time-to-first-byte objective in use (300 ms).
 constexpr double kBusyDelayMs = 30;
-// The busy state ends when the average was at most this for
-// kMinRecoveryTime.
+// The busy state ends when the average was at most this for kMinRecoveryTime.
 constexpr double kRecoveredDelayMs = 12;
 constexpr Millis kMinRecoveryTime = Millis(1'000);
 // About a quarter of that objective: a request accepted at this delay would be
