--- a/sparbend/core/ingress_scheduler.cc
+++ b/sparbend/core/ingress_scheduler.cc
@@ -320,7 +320,7 @@
 auto IngressScheduler::Schedule(Millis now) -> std::vector<Dispatch> {
   if (policy_ == Policy::kShared)
     return ScheduleShared(now);
-  leases_.Lapse(now);
+  leases_.ExpireLeases(now);
   std::vector<Dispatch> dispatches;
   bool progress = true;
   while (progress) {
--- a/sparbend/core/ingress_scheduler.h
+++ b/sparbend/core/ingress_scheduler.h
@@ -121,7 +121,7 @@
     return leases_.Reports(allocator, all);
   }
   auto Urgent(BoxId allocator) const -> bool {
-    return leases_.Urgent(allocator) || demand_.Urgent(allocator);
+    return leases_.NeedsImmediateSend(allocator) || demand_.Urgent(allocator);
   }
 
   // Whether no free slot has to be handed back.
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -396,8 +396,8 @@
     return;
   }
   for (auto& [box, peer] : peers_) {
-    const bool urgent =
-        peer.urgent || entry_.Urgent(box) || allocators_.Urgent(box);
+    const bool urgent = peer.urgent || entry_.Urgent(box) ||
+                        allocators_.NeedsImmediateSend(box);
     if (urgent && peer.urgent_since == Millis(0))
       peer.urgent_since = now;
     const bool flush = urgent && now - peer.urgent_since >= kFlushDelay;
--- a/sparbend/core/overload.cc
+++ b/sparbend/core/overload.cc
@@ -45,7 +45,7 @@
     busy_ = false;
 }
 
-auto Overload::flooded() const -> bool {
+auto Overload::saturated() const -> bool {
   return mean_delay_ms_ >= kSaturatedDelayMs;
 }
 
--- a/sparbend/core/overload.h
+++ b/sparbend/core/overload.h
@@ -22,9 +22,9 @@
   auto busy() const -> bool { return busy_; }
   // Whether this box is saturated: a request accepted now would be answered too
   // late to be useful.
-  auto flooded() const -> bool;
+  auto saturated() const -> bool;
   // Moving average of the delays.
-  auto lag() const -> Millis {
+  auto mean_delay() const -> Millis {
     return Millis(static_cast<int64_t>(mean_delay_ms_));
   }
 
--- a/sparbend/core/overload_test.cc
+++ b/sparbend/core/overload_test.cc
@@ -42,7 +42,7 @@
     now_ms = 0;
     RunTicks(row.delay_ms, row.duration_ms);
     CHECK_EQUAL_TEXT(row.busy, overload.busy(), row.what);
-    CHECK_EQUAL_TEXT(row.flooded, overload.flooded(), row.what);
+    CHECK_EQUAL_TEXT(row.flooded, overload.saturated(), row.what);
   }
 }
 
@@ -51,9 +51,9 @@
   for (const int64_t tick_ms : {50, 100, 500}) {
     overload = Overload();
     RunTicks(300, 4'000);
-    CHECK(overload.flooded());
+    CHECK(overload.saturated());
     RunTicks(0, 1'000, tick_ms);
-    CHECK(!overload.flooded());
+    CHECK(!overload.saturated());
     RunTicks(0, 2'000, tick_ms);
     CHECK(!overload.busy());
   }
--- a/sparbend/services/frontend.cc
+++ b/sparbend/services/frontend.cc
@@ -328,7 +328,7 @@
   exchange->catalog = config_->catalog();
   if (auto refusal = dialect_->read_head(head, exchange))
     return refusal;
-  if (scheduler_->overload().flooded())
+  if (scheduler_->overload().saturated())
     return BehindWork(*exchange);
   return scheduler_->node().ingress_scheduler().WhyFull(*exchange->workspace);
 }
--- a/sparbend/services/scheduler.cc
+++ b/sparbend/services/scheduler.cc
@@ -174,7 +174,7 @@
   overload_.OnTick(loop_delay_.Latest(now), now);
   if (overload_.busy() != before)
     Log(LogLevel::kWarning, before ? "overload-over" : "overloaded",
-        {{"lag_ms", overload_.lag().count()},
+        {{"lag_ms", overload_.mean_delay().count()},
          {"queued", node_.ingress_scheduler().queues().total()},
          {"in_flight", node_.ingress_scheduler().in_flight()}});
 }
