--- a/sparbend/core/overload.h
+++ b/sparbend/core/overload.h
@@ -4,7 +4,7 @@
 //
 //   overload.OnTick(loop_delay, now);  // about every 50 ms
 //   if (overload.busy()) ...           // ask the load balancer for less
-//   if (overload.flooded()) ...        // refuse new requests
+//   if (overload.saturated()) ...      // refuse new requests
 #ifndef SPARBEND_CORE_OVERLOAD_H_
 #define SPARBEND_CORE_OVERLOAD_H_
 
--- a/sparbend/core/overload_test.cc
+++ b/sparbend/core/overload_test.cc
@@ -27,7 +27,7 @@
     int64_t delay_ms;
     int64_t duration_ms;
     bool busy;
-    bool flooded;
+    bool saturated;
   };
   const Case cases[] = {
       {"no delay", 1, 2'000, false, false},
@@ -42,7 +42,7 @@
     now_ms = 0;
     RunTicks(row.delay_ms, row.duration_ms);
     CHECK_EQUAL_TEXT(row.busy, overload.busy(), row.what);
-    CHECK_EQUAL_TEXT(row.flooded, overload.saturated(), row.what);
+    CHECK_EQUAL_TEXT(row.saturated, overload.saturated(), row.what);
   }
 }
 
