--- a/sparbend/core/ingress_scheduler.cc
+++ b/sparbend/core/ingress_scheduler.cc
@@ -244,7 +244,7 @@
     -> bool {
   const TargetId id = target.view.id;
   if (policy_ == Policy::kIndependent || policy_ == Policy::kLeases ||
-      leases_.Keep(id) || leases_.MeantFor(id, flow.workspace))
+      leases_.Keep(id) || leases_.IsReservedFor(id, flow.workspace))
     return true;
   if (policy_ == Policy::kGrants || !target.allocator)
     return false;
@@ -320,7 +320,7 @@
 auto IngressScheduler::Schedule(Millis now) -> std::vector<Dispatch> {
   if (policy_ == Policy::kShared)
     return ScheduleShared(now);
-  leases_.Lapse(now);
+  leases_.ExpireLeases(now);
   std::vector<Dispatch> dispatches;
   bool progress = true;
   while (progress) {
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -340,7 +340,7 @@
     allocators_.OnDemand(self, demand, now);
   allocators_.Run(now);
   entry_.RenewLeases(self, now);
-  entry_.OnFloors(self, allocators_.Floors());
+  entry_.OnFloors(self, allocators_.SlotKeepLimits());
   for (const LeaseNotice& lease : allocators_.Notices(self, false))
     entry_.OnNotice(self, lease, now);
 }
@@ -396,8 +396,8 @@
     return;
   }
   for (auto& [box, peer] : peers_) {
-    const bool urgent =
-        peer.urgent || entry_.Urgent(box) || allocators_.Urgent(box);
+    const bool urgent = peer.urgent || entry_.Urgent(box) ||
+                        allocators_.NeedsImmediateSend(box);
     if (urgent && peer.urgent_since == Millis(0))
       peer.urgent_since = now;
     const bool flush = urgent && now - peer.urgent_since >= kFlushDelay;
@@ -439,7 +439,7 @@
   if (options_.policy == Policy::kIndependent)
     return datagram;
   datagram.leases = allocators_.Notices(to, whole);
-  datagram.floors = allocators_.Floors();
+  datagram.floors = allocators_.SlotKeepLimits();
   datagram.reports = entry_.Reports(to, whole);
   datagram.demands = entry_.Demands(to, whole);
   const size_t refresh = whole ? kRefreshPerRepeat : 0;
