--- a/sparbend/core/all_targets_back_off_test.cc
+++ b/sparbend/core/all_targets_back_off_test.cc
@@ -1,4 +1,6 @@
-// Requests waited for targets that had all asked for none until they were late.
+// Guards against requests that are queued until they miss their deadline, while
+// all targets are backing off (Retry-After). Such requests must be refused
+// immediately.
 #include <CppUTest/TestHarness.h>
 
 #include "testing/shared_nodes.h"
@@ -29,13 +31,15 @@
       TargetIdOf("target-" + std::to_string(target)), span, now);
 }
 
-// What becomes of a request that comes when targets have asked for `spans`.
-struct Fate {
+// Result of a request that arrives when each target has asked for one of
+// `spans`: refused, or sent after a time; neither if it is still queued when it
+// is due.
+struct RequestResult {
   std::optional<Refusal> refused;
   std::optional<Millis> sent_after;
 };
 
-auto FateOf(const std::vector<Millis>& spans, Millis due) -> Fate {
+auto ResultOf(const std::vector<Millis>& spans, Millis due) -> RequestResult {
   SharedNodes nodes(1, EngineTargets(static_cast<int>(spans.size()), 4));
   Node& node = nodes.at(0);
   node.SetCatalog(EngineCatalog());
@@ -59,32 +63,48 @@
 
 TEST_GROUP(AllTargetsBackOff){};
 
-TEST(AllTargetsBackOff, RefusesAtOnceWhatWouldBeLate) {
+TEST(AllTargetsBackOff, RefusesImmediatelyWhatWouldBeLate) {
   struct Case {
     const char* what;
     std::vector<Millis> spans;
     Millis due;
     bool refused;
-    int64_t least;  // of Retry-After, or of the wait
-    int64_t most;
+    int64_t min_ms;  // bounds of Retry-After, or of the time in the queue
+    int64_t max_ms;
   };
   const Case cases[] = {
-      {"one is free", {Millis(3'000), Millis(0)}, Millis(500), false, 0, 0},
-      {"late", {Millis(3'000), Millis(2'000)}, Millis(500), true, 2'000, 2'200},
-      {"in time", {Millis(3'000), Millis(300)}, Millis(900), false, 300, 360},
+      {"one target ready",
+       {Millis(3'000), Millis(0)},
+       Millis(500),
+       false,
+       0,
+       0},
+      {"too late",
+       {Millis(3'000), Millis(2'000)},
+       Millis(500),
+       true,
+       2'000,
+       2'200},
+      {"soon enough",
+       {Millis(3'000), Millis(300)},
+       Millis(900),
+       false,
+       300,
+       360},
   };
   for (const Case& row : cases) {
-    const Fate fate = FateOf(row.spans, row.due);
-    CHECK_EQUAL_TEXT(row.refused, fate.refused.has_value(), row.what);
+    const RequestResult result = ResultOf(row.spans, row.due);
+    CHECK_EQUAL_TEXT(row.refused, result.refused.has_value(), row.what);
     const Millis span =
-        row.refused ? fate.refused->retry_after : fate.sent_after.value();
-    CHECK_TEXT(span >= Millis(row.least) && span <= Millis(row.most), row.what);
+        row.refused ? result.refused->retry_after : result.sent_after.value();
+    CHECK_TEXT(span >= Millis(row.min_ms) && span <= Millis(row.max_ms),
+               row.what);
     if (row.refused)
-      LONGS_EQUAL_TEXT(503, fate.refused->status, row.what);
+      LONGS_EQUAL_TEXT(503, result.refused->status, row.what);
   }
 }
 
-TEST(AllTargetsBackOff, IsNotedWhileRequestsWait) {
+TEST(AllTargetsBackOff, RefusesQueuedRequestsThatWouldBeLate) {
   SharedNodes nodes(1, EngineTargets(1, 4));
   Node& node = nodes.at(0);
   node.SetCatalog(EngineCatalog());
@@ -98,7 +118,7 @@
   LONGS_EQUAL(1, effects.refusals.front().first);
 }
 
-TEST(AllTargetsBackOff, OutlastsANewListAndConfiguration) {
+TEST(AllTargetsBackOff, BackoffSurvivesANewListAndConfiguration) {
   SharedNodes nodes(1, EngineTargets(1, 4));
   Node& node = nodes.at(0);
   const Millis now = nodes.now();
--- a/sparbend/core/backoff_fleet_test.cc
+++ b/sparbend/core/backoff_fleet_test.cc
@@ -1,5 +1,6 @@
-// A fleet filled targets again as soon as the time that they had asked for was
-// over, or sent to them before.
+// Guards against two failures of a fleet of boxes: it sends to a target within
+// the time for which the target asked for no requests, or fills the target
+// again as soon as that time has passed.
 #include <algorithm>
 #include <deque>
 #include <iostream>
@@ -15,40 +16,50 @@
 
 constexpr int kBoxes = 6;
 constexpr int kTargets = 6;
+// Requests that a target executes at the same time.
 constexpr int kSlots = 8;
-// Requests beyond its slots that a target takes.
-constexpr int kPlaces = 4;
-constexpr Millis kStep(5);
-constexpr Millis kSpan(20'000);
-constexpr Millis kWork(200);
+// Requests beyond its slots that a target accepts.
+constexpr int kTargetQueueSize = 4;
+constexpr Millis kStepInterval(5);
+constexpr Millis kDuration(20'000);
+// Time in which a target answers a request that has a slot.
+constexpr Millis kServiceTime(200);
+// From a client's first attempt to the first byte of the answer.
 constexpr Millis kObjective(600);
+// Of a client, from its first attempt.
 constexpr Millis kWaitTimeout(3'000);
-constexpr Millis kAsked(2'000);
-constexpr Millis kOnTheWay(500);
-constexpr int kMostWithin = 2;
-// Targets that turn all requests away, and when.
+// Asked for by a target with each rejection.
+constexpr Millis kRetryAfter(2'000);
+// Requests that arrive this soon after a rejection may have been sent before
+// it.
+constexpr Millis kMaxSendDelay(500);
+// Requests that a box may send to a target within a time that it asked for.
+constexpr int kMaxSentWithin = 2;
+// When the faulty targets reject all requests.
 constexpr Millis kFaultFrom(3'000);
 constexpr Millis kFaultUntil(9'000);
 
 struct Row {
   const char* what;
-  int faulty;           // of the targets
-  double load;          // of what all targets bear
-  uint64_t first_seed;  // of kSeeds
+  int faulty;           // number of faulty targets
+  double load;          // fraction of the rate that all targets sustain
+  uint64_t first_seed;  // the first of kSeeds seeds
 };
 constexpr uint64_t kSeeds = 5;
 
 struct Totals {
-  int asked = 0;
+  int asked = 0;  // new requests, without client retries
   int in_time = 0;
   int late = 0;
   int refused = 0;
-  int turned_away = 0;  // by targets
-  int most_within = 0;  // requests within a time that a target asked for
+  int rejected = 0;  // by targets
+  // Most requests of a box at a target within a time that the target asked
+  // for.
+  int max_sent_within = 0;
 };
 
-// Boxes as pure nodes, targets with slots and a short queue, and callers that
-// come back once, after a refusal's Retry-After.
+// Simulates boxes as nodes without I/O, targets with slots and a short queue,
+// and clients that retry once, after the Retry-After of a refusal.
 class Simulation {
  public:
   Simulation(const Row& row, uint64_t seed)
@@ -68,62 +79,63 @@
   }
 
   auto Run() -> Totals {
-    while (Elapsed() < kSpan) {
-      AskNew();
-      BeginAndEndAnswers();
-      nodes_.Step(kStep);
+    while (Elapsed() < kDuration) {
+      SendNewRequests();
+      StartAndEndAnswers();
+      nodes_.Step(kStepInterval);
     }
     return totals_;
   }
 
  private:
+  // A client's request over its attempts.
   struct Call {
-    Millis first;  // its caller asked
-    int tries = 0;
+    Millis first_sent_at;  // by the client
+    int attempts = 0;
   };
   struct Target {
     int running = 0;
-    std::map<int, std::vector<Millis>> refusals;  // by box
+    std::map<int, std::vector<Millis>> rejected_at;  // by box
   };
-  // A request at a target; its answer is about to begin, or to end.
-  struct Work {
+  // A request at a target. The event is the start of its answer, or its end.
+  struct Execution {
     int box = 0;
     int target = 0;
     RequestId id = 0;
-    bool begun = false;
+    bool answer_started = false;
   };
 
   auto Elapsed() const -> Millis { return nodes_.now() - start_; }
 
-  void AskNew() {
+  void SendNewRequests() {
     const double per_step = row_.load * kTargets * kSlots *
-                            static_cast<double>(kStep.count()) /
-                            static_cast<double>(kWork.count());
+                            static_cast<double>(kStepInterval.count()) /
+                            static_cast<double>(kServiceTime.count());
     std::poisson_distribution<int> count(per_step);
     for (int i = count(random_); i > 0; --i) {
       ++totals_.asked;
-      Ask({nodes_.now(), 0});
+      SendRequest({nodes_.now(), 0});
     }
-    for (auto due = returns_.begin();
-         due != returns_.end() && due->first <= nodes_.now();
-         due = returns_.erase(due))
-      Ask(due->second);
+    for (auto due = client_retries_.begin();
+         due != client_retries_.end() && due->first <= nodes_.now();
+         due = client_retries_.erase(due))
+      SendRequest(due->second);
   }
 
-  void Ask(Call call) {
+  void SendRequest(Call call) {
     const int box = static_cast<int>(random_() % kBoxes);
-    const RequestId id = next_++;
-    ++call.tries;
+    const RequestId id = next_id_++;
+    ++call.attempts;
     calls_[id] = call;
     QueuedRequest request;
     request.id = id;
     request.flow = {PoolIdOf("engines"), 1};
     request.arrived = nodes_.now();
-    request.expires = call.first + kWaitTimeout;
+    request.expires = call.first_sent_at + kWaitTimeout;
     request.work.prompt_tokens = 100;
     request.work.output_tokens = 10;
     request.work.objective = kObjective;
-    request.work.first_byte_due = call.first + kObjective;
+    request.work.first_byte_due = call.first_sent_at + kObjective;
     Node& node = nodes_.at(box);
     if (const auto dispatch =
             node.ingress_scheduler().TryStart(request, nodes_.now()))
@@ -135,10 +147,10 @@
   void Refuse(RequestId id, Millis retry_after) {
     const Call call = calls_.at(id);
     calls_.erase(id);
-    const Millis left = call.first + kWaitTimeout - nodes_.now();
+    const Millis left = call.first_sent_at + kWaitTimeout - nodes_.now();
     const Millis wait = std::min(retry_after, Millis(left.count() / 3));
-    if (call.tries < 2 && left > Millis(0))
-      returns_.emplace(nodes_.now() + wait, call);
+    if (call.attempts < 2 && left > Millis(0))
+      client_retries_.emplace(nodes_.now() + wait, call);
     else
       ++totals_.refused;
   }
@@ -149,30 +161,32 @@
   }
 
   void Arrive(int box, const Dispatch& dispatch) {
-    const int number = NumberOf(dispatch.target);
-    Target& target = targets_[static_cast<size_t>(number)];
-    std::vector<Millis>& refusals = target.refusals[box];
-    const auto within = std::ranges::count_if(refusals, [&](Millis at) {
-      return nodes_.now() > at + kOnTheWay && nodes_.now() < at + kAsked;
+    const int target_index = TargetIndexOf(dispatch.target);
+    Target& target = targets_[static_cast<size_t>(target_index)];
+    std::vector<Millis>& rejected_at = target.rejected_at[box];
+    const auto open_spans = std::ranges::count_if(rejected_at, [&](Millis at) {
+      return nodes_.now() > at + kMaxSendDelay &&
+             nodes_.now() < at + kRetryAfter;
     });
-    if (within > 0)
-      totals_.most_within =
-          std::max(totals_.most_within, ++late_[{box, number}]);
-    if (!IsFaulty(number) && target.running < kSlots + kPlaces) {
-      Begin(box, number, dispatch.request);
+    if (open_spans > 0)
+      totals_.max_sent_within = std::max(totals_.max_sent_within,
+                                         ++sent_within_[{box, target_index}]);
+    if (!IsFaulty(target_index) && target.running < kSlots + kTargetQueueSize) {
+      Begin(box, target_index, dispatch.request);
       return;
     }
-    ++totals_.turned_away;
-    refusals.push_back(nodes_.now());
-    late_.erase({box, number});
+    ++totals_.rejected;
+    rejected_at.push_back(nodes_.now());
+    sent_within_.erase({box, target_index});
     Node& node = nodes_.at(box);
-    node.ingress_scheduler().placement().OnRetryAfter(dispatch.target, kAsked,
-                                                      nodes_.now());
+    node.ingress_scheduler().placement().OnRetryAfter(
+        dispatch.target, kRetryAfter, nodes_.now());
     node.ingress_scheduler().Requeue(
-        dispatch.request, calls_.at(dispatch.request).first + kWaitTimeout);
+        dispatch.request,
+        calls_.at(dispatch.request).first_sent_at + kWaitTimeout);
   }
 
-  static auto NumberOf(TargetId id) -> int {
+  static auto TargetIndexOf(TargetId id) -> int {
     for (int i = 0; i < kTargets; ++i) {
       if (TargetIdOf("target-" + std::to_string(i)) == id)
         return i;
@@ -180,32 +194,35 @@
     return -1;
   }
 
-  void Begin(int box, int number, RequestId id) {
-    Target& target = targets_[static_cast<size_t>(number)];
-    const int waiting = std::max(0, target.running - kSlots + 1);
+  void Begin(int box, int target_index, RequestId id) {
+    Target& target = targets_[static_cast<size_t>(target_index)];
+    const int queue_position = std::max(0, target.running - kSlots + 1);
     ++target.running;
-    const Millis begins =
-        nodes_.now() + Millis(kWork.count() * waiting / kSlots);
-    events_.emplace(begins + Millis(10), Work{box, number, id, false});
-    events_.emplace(begins + kWork, Work{box, number, id, true});
+    const Millis starts_at =
+        nodes_.now() + Millis(kServiceTime.count() * queue_position / kSlots);
+    events_.emplace(starts_at + Millis(10),
+                    Execution{box, target_index, id, false});
+    events_.emplace(starts_at + kServiceTime,
+                    Execution{box, target_index, id, true});
   }
 
-  void BeginAndEndAnswers() {
+  void StartAndEndAnswers() {
     for (auto event = events_.begin();
          event != events_.end() && event->first <= nodes_.now();
          event = events_.erase(event)) {
-      const Work& run = event->second;
-      IngressScheduler& entry = nodes_.at(run.box).ingress_scheduler();
-      if (!run.begun) {
-        entry.OnBytes(run.id, nodes_.now());
-        const Call& call = calls_.at(run.id);
-        const bool in_time = nodes_.now() - call.first <= kObjective;
+      const Execution& execution = event->second;
+      IngressScheduler& scheduler =
+          nodes_.at(execution.box).ingress_scheduler();
+      if (!execution.answer_started) {
+        scheduler.OnBytes(execution.id, nodes_.now());
+        const Call& call = calls_.at(execution.id);
+        const bool in_time = nodes_.now() - call.first_sent_at <= kObjective;
         ++(in_time ? totals_.in_time : totals_.late);
         continue;
       }
-      entry.Finish(run.id, 120);
-      calls_.erase(run.id);
-      --targets_[static_cast<size_t>(run.target)].running;
+      scheduler.Finish(execution.id, 120);
+      calls_.erase(execution.id);
+      --targets_[static_cast<size_t>(execution.target)].running;
     }
   }
 
@@ -214,18 +231,19 @@
   testing::SharedNodes nodes_;
   std::vector<Target> targets_;
   Millis start_;
-  RequestId next_ = 1;
+  RequestId next_id_ = 1;
   std::map<RequestId, Call> calls_;
-  std::multimap<Millis, Call> returns_;
-  std::multimap<Millis, Work> events_;
-  // Requests of a box at a target since its last refusal, within its time.
-  std::map<std::pair<int, int>, int> late_;
+  std::multimap<Millis, Call> client_retries_;
+  std::multimap<Millis, Execution> events_;
+  // Requests by box and target that were sent within the time that the target
+  // asked for, since its last rejection.
+  std::map<std::pair<int, int>, int> sent_within_;
   Totals totals_;
 };
 
 TEST_GROUP(BackoffFleet){};
 
-TEST(BackoffFleet, SendsNothingWithinATimeAskedFor) {
+TEST(BackoffFleet, SendsNothingWithinATimeThatATargetAskedFor) {
   const Row rows[] = {
       {"two of six targets, half load", 2, 0.5, 1},
       {"two of six targets, full load", 2, 0.9, 11},
@@ -238,17 +256,17 @@
     for (uint64_t seed = row.first_seed; seed < row.first_seed + kSeeds;
          ++seed) {
       const Totals totals = Simulation(row, seed).Run();
-      CHECK_COMPARE_TEXT(totals.most_within, <=, kMostWithin, row.what);
+      CHECK_COMPARE_TEXT(totals.max_sent_within, <=, kMaxSentWithin, row.what);
       sum.asked += totals.asked;
       sum.in_time += totals.in_time;
       sum.late += totals.late;
       sum.refused += totals.refused;
-      sum.turned_away += totals.turned_away;
+      sum.rejected += totals.rejected;
     }
-    // For comparing ways of returning to a target.
+    // Printed to compare strategies of returning to a target.
     std::cout << row.what << ": asked " << sum.asked << ", in time "
               << sum.in_time << ", late " << sum.late << ", refused "
-              << sum.refused << ", turned away " << sum.turned_away << "\n";
+              << sum.refused << ", turned away " << sum.rejected << "\n";
     CHECK_TEXT(sum.in_time > 0, row.what);
   }
 }
--- a/sparbend/core/fingerprint.h
+++ b/sparbend/core/fingerprint.h
@@ -1,10 +1,10 @@
-// Names a request by what it asks for, so that it is known again in a later
-// try and at another box, where its id is new.
+// Identifies a request by its contents, so that it is recognised in a client
+// retry and on another box, where it has a new id.
 //
 //   if (quarantine.Concerns(workspace, PathDigest(method, path)))
 //     Use(FingerprintOf(workspace, method, path, body));
 //
-// Pure.
+// Pure functions.
 #ifndef SPARBEND_CORE_FINGERPRINT_H_
 #define SPARBEND_CORE_FINGERPRINT_H_
 
@@ -17,26 +17,27 @@
 
 namespace sparbend {
 
-// The workspace is named beside the digests: whatever bytes one workspace
-// sends, they never stand for a request of another.
+// Includes the workspace beside the digests, so that no bytes that one
+// workspace sends can have the fingerprint of another workspace's request.
 struct Fingerprint {
   WorkspaceId workspace = 0;
-  uint32_t path = 0;  // PathDigest
+  uint32_t path = 0;  // PathDigest of the method and path
   uint32_t body = 0;  // digest of the body
 
   auto operator<=>(const Fingerprint&) const = default;
 };
 
-// `path` is the request's target as sent, query included. O(size).
+// `path` is the HTTP request target as sent, including the query. O(size).
 auto PathDigest(std::string_view method, std::string_view path) -> uint32_t;
 
-// O(size of path and body).
+// `path` as in PathDigest. O(size of path and body).
 auto FingerprintOf(WorkspaceId workspace,
                    std::string_view method,
                    std::string_view path,
                    std::string_view body) -> Fingerprint;
 
-// For logs and operators: three hexadecimal numbers, joined by dots.
+// For logs and operators: workspace, path and body as three hexadecimal
+// numbers, joined by dots.
 auto ToString(const Fingerprint& fingerprint) -> std::string;
 
 }  // namespace sparbend
--- a/sparbend/core/stream_stall_detector.cc
+++ b/sparbend/core/stream_stall_detector.cc
@@ -1,6 +1,7 @@
-// The usual gap and its deviation are followed as TCP follows round trips, so
-// that targets which send seldom are given longer. One stream alone proves
-// little: it may pause for reasons of its own.
+// The usual gap between bytes and its deviation are estimated as TCP
+// estimates round-trip times (RFC 6298), so that a target that sends less often
+// is given a longer timeout. A single stream is no evidence, as it may pause
+// for a reason of its own.
 #include "sparbend/core/stream_stall_detector.h"
 
 #include <algorithm>
@@ -9,22 +10,23 @@
 namespace sparbend {
 namespace {
 
-constexpr int kLeastStreams = 2;
-// A target reads a long prompt in pieces of some ten milliseconds, between the
-// tokens of what runs there; this is many of them.
-constexpr double kLeastMs = 250;
-constexpr double kMostMs = 2'000;
-// Weights of the newest gap, and deviations allowed, of RFC 6298 doubled.
+constexpr int kMinStreams = 2;
+// A target processes a long prompt in chunks of about ten milliseconds, between
+// the tokens of its running requests. The minimum timeout is many such chunks.
+constexpr double kMinTimeoutMs = 250;
+constexpr double kMaxTimeoutMs = 2'000;
+// The weights of the newest gap are those of RFC 6298; the number of deviations
+// allowed is twice that of RFC 6298.
 constexpr double kGapWeight = 0.125;
 constexpr double kDeviationWeight = 0.25;
-constexpr double kDeviations = 8;
+constexpr double kAllowedDeviations = 8;
 
 }  // namespace
 
 void StreamStallDetector::OnBegun(TargetId target, Millis now) {
   State& state = states_[target];
   if (state.streams == 0)
-    state.heard = now;
+    state.last_bytes_at = now;
   ++state.streams;
 }
 
@@ -33,11 +35,11 @@
   if (found == states_.end())
     return;
   State& state = found->second;
-  const auto gap = static_cast<double>((now - state.heard).count());
+  const auto gap = static_cast<double>((now - state.last_bytes_at).count());
   state.deviation_ms +=
       kDeviationWeight * (std::abs(gap - state.gap_ms) - state.deviation_ms);
   state.gap_ms += kGapWeight * (gap - state.gap_ms);
-  state.heard = now;
+  state.last_bytes_at = now;
 }
 
 void StreamStallDetector::OnEnded(TargetId target) {
@@ -48,12 +50,13 @@
 
 auto StreamStallDetector::Quiet(TargetId target, Millis now) const -> bool {
   const auto found = states_.find(target);
-  if (found == states_.end() || found->second.streams < kLeastStreams)
+  if (found == states_.end() || found->second.streams < kMinStreams)
     return false;
   const State& state = found->second;
-  const double usual = state.gap_ms + kDeviations * state.deviation_ms;
-  return static_cast<double>((now - state.heard).count()) >
-         std::clamp(usual, kLeastMs, kMostMs);
+  const double timeout_ms =
+      state.gap_ms + kAllowedDeviations * state.deviation_ms;
+  return static_cast<double>((now - state.last_bytes_at).count()) >
+         std::clamp(timeout_ms, kMinTimeoutMs, kMaxTimeoutMs);
 }
 
 }  // namespace sparbend
--- a/sparbend/core/stream_stall_detector.h
+++ b/sparbend/core/stream_stall_detector.h
@@ -1,13 +1,14 @@
-// Whether a target that should be sending has gone quiet: it has streams under
-// way, and none of their bytes came for much longer than usual. A dead or
-// cut-off target shows so seconds before its connections break, and at the
-// first byte it counts as heard again.
+// Detects targets whose open streams have stalled: no bytes were received on
+// any of a target's streams for much longer than usual. This detects a target
+// that is dead or cut off by the network seconds before its connections break.
+// The next byte received ends the stall.
 //
-//   silence.OnBegun(target, now); silence.OnBytes(target, now);
-//   silence.OnEnded(target);
-//   if (silence.Quiet(target, now)) ...   // send nothing new there
+//   detector.OnBegun(target, now);   // a stream was opened
+//   detector.OnBytes(target, now);
+//   detector.OnEnded(target);
+//   if (detector.Quiet(target, now)) ...   // send no new requests to it
 //
-// Pure; all calls O(1).
+// Does no I/O and reads no clock. All calls are O(1).
 #ifndef SPARBEND_CORE_STREAM_STALL_DETECTOR_H_
 #define SPARBEND_CORE_STREAM_STALL_DETECTOR_H_
 
@@ -20,19 +21,22 @@
 
 class StreamStallDetector {
  public:
-  // A stream from `target` has begun; ended later, whole or not.
+  // A stream from `target` has started. Each call is followed by one of
+  // OnEnded, whether or not the stream was received completely.
   void OnBegun(TargetId target, Millis now);
   void OnBytes(TargetId target, Millis now);
   void OnEnded(TargetId target);
+  // Whether the streams of `target` are stalled.
   auto Quiet(TargetId target, Millis now) const -> bool;
 
  private:
-  // Of a target with streams under way.
+  // Of a target with open streams.
   struct State {
     int streams = 0;
-    Millis heard;
-    double gap_ms = 0;        // mean time between pieces of any stream
-    double deviation_ms = 0;  // mean deviation from it
+    Millis last_bytes_at;  // or the start of the first open stream
+    double gap_ms =
+        0;  // moving average of the time between bytes of any stream
+    double deviation_ms = 0;  // moving average of the deviation from gap_ms
   };
 
   std::unordered_map<TargetId, State> states_;
--- a/sparbend/core/stream_stall_detector_test.cc
+++ b/sparbend/core/stream_stall_detector_test.cc
@@ -9,53 +9,53 @@
 
 TEST_GROUP(StreamStallDetector){};
 
-TEST(StreamStallDetector, ATargetIsQuietWhenSeveralStreamsPauseForMuchLonger) {
+TEST(StreamStallDetector, StalledWhenSeveralStreamsPauseMuchLongerThanUsual) {
   struct Case {
     const char* what;
     int streams;
-    int64_t gap_ms;  // between pieces, before the last one
-    int64_t since_ms;
-    bool quiet;
+    int64_t gap_ms;   // between bytes, until the last ones
+    int64_t idle_ms;  // since the last bytes
+    bool stalled;
   };
   const Case cases[] = {
-      {"pieces come", 3, 20, 20, false},
-      {"a long prompt is read between", 3, 20, 240, false},
-      {"nothing for long", 3, 20, 300, true},
-      {"one stream alone may pause", 1, 20, 5'000, false},
-      {"no stream", 0, 20, 5'000, false},
-      {"pieces come seldom", 3, 400, 350, false},
-      {"not even those", 3, 400, 2'100, true},
+      {"bytes as usual", 3, 20, 20, false},
+      {"a pause while a long prompt is processed", 3, 20, 240, false},
+      {"no bytes for long", 3, 20, 300, true},
+      {"a single stream may pause", 1, 20, 5'000, false},
+      {"no streams", 0, 20, 5'000, false},
+      {"bytes seldom, a usual pause", 3, 400, 350, false},
+      {"bytes seldom, a long pause", 3, 400, 2'100, true},
   };
   for (const Case& row : cases) {
-    StreamStallDetector silence;
+    StreamStallDetector detector;
     Millis now(1'000);
     for (int i = 0; i < row.streams; ++i)
-      silence.OnBegun(kTarget, now);
+      detector.OnBegun(kTarget, now);
     for (int i = 0; i < 100; ++i) {
       now = now + Millis(row.gap_ms);
-      silence.OnBytes(kTarget, now);
+      detector.OnBytes(kTarget, now);
     }
-    CHECK_EQUAL_TEXT(row.quiet,
-                     silence.Quiet(kTarget, now + Millis(row.since_ms)),
+    CHECK_EQUAL_TEXT(row.stalled,
+                     detector.Quiet(kTarget, now + Millis(row.idle_ms)),
                      row.what);
   }
 }
 
-TEST(StreamStallDetector, OneByteOrTheEndOfItsStreamsMakesItHeardAgain) {
-  StreamStallDetector silence;
-  silence.OnBegun(kTarget, Millis(0));
-  silence.OnBegun(kTarget, Millis(0));
-  CHECK(silence.Quiet(kTarget, Millis(1'000)));
-  silence.OnBytes(kTarget, Millis(1'000));
-  CHECK(!silence.Quiet(kTarget, Millis(1'010)));
-  CHECK(silence.Quiet(kTarget, Millis(4'000)));
-  silence.OnEnded(kTarget);
-  CHECK(!silence.Quiet(kTarget, Millis(4'000)));
-  silence.OnEnded(kTarget);
-  silence.OnEnded(kTarget);  // one too many changes nothing
-  silence.OnBegun(kTarget, Millis(5'000));
-  silence.OnBegun(kTarget, Millis(5'000));
-  CHECK(!silence.Quiet(kTarget, Millis(5'100)));
+TEST(StreamStallDetector, BytesOrTheEndOfAStreamEndTheStall) {
+  StreamStallDetector detector;
+  detector.OnBegun(kTarget, Millis(0));
+  detector.OnBegun(kTarget, Millis(0));
+  CHECK(detector.Quiet(kTarget, Millis(1'000)));
+  detector.OnBytes(kTarget, Millis(1'000));
+  CHECK(!detector.Quiet(kTarget, Millis(1'010)));
+  CHECK(detector.Quiet(kTarget, Millis(4'000)));
+  detector.OnEnded(kTarget);
+  CHECK(!detector.Quiet(kTarget, Millis(4'000)));
+  detector.OnEnded(kTarget);
+  detector.OnEnded(kTarget);  // without a stream, has no effect
+  detector.OnBegun(kTarget, Millis(5'000));
+  detector.OnBegun(kTarget, Millis(5'000));
+  CHECK(!detector.Quiet(kTarget, Millis(5'100)));
 }
 
 }  // namespace
--- a/sparbend/core/target_backoff.cc
+++ b/sparbend/core/target_backoff.cc
@@ -1,15 +1,16 @@
-// Slow start, as in congestion control: the limit on requests without an answer
-// grows by one with each that is taken, which doubles it each time that the
-// target answers all it has. Answers that run on don't count against it.
+// Slow start, as in TCP congestion control: the limit on unanswered requests
+// grows by one with each answer that starts, so it doubles each time the target
+// has started to answer all its requests. Requests whose answer has started no
+// longer count against the limit.
 //
-// A refusal is the target's own word and binds to its end: a later one with a
-// shorter span takes nothing back.
+// The time that a target asked for is always observed to its end: a later
+// rejection with a shorter span does not shorten it.
 //
-// Invariant: State::waiting counts the entries of waiting_ for its target, and
-// none of these is of a target without a state.
+// Invariant: State::unanswered is the number of entries of unanswered_ for its
+// target, and each target in unanswered_ has a State.
 //
-// Boxes that were turned away together would come back together, so each adds a
-// part of the span of its own.
+// Boxes that were rejected at the same time would return at the same time, so
+// each extends the span by a fraction of its own.
 #include "sparbend/core/target_backoff.h"
 
 #include <algorithm>
@@ -19,12 +20,14 @@
 namespace sparbend {
 namespace {
 
-// A target that has answered so many is as good as any other.
-constexpr int kTrustedAfter = 16;
-// Boxes return within this part of the span, in percent.
-constexpr uint64_t kSpreadPercent = 10;
-// A target without requests since its time ended is forgotten after so long.
-constexpr Millis kForgottenAfter = Millis(30'000);
+// A target that has started to answer this many requests since its backoff is
+// no longer limited.
+constexpr int kAnswersUntilUnlimited = 16;
+// Upper limit of the extension of a span, in percent of it.
+constexpr uint64_t kMaxSpreadPercent = 10;
+// The state of a target is dropped this long after the end of its backoff,
+// though it is still limited.
+constexpr Millis kRetention = Millis(30'000);
 
 }  // namespace
 
@@ -33,41 +36,41 @@
     return;
   const uint64_t spread =
       RankOf(seed_, target) %
-      (static_cast<uint64_t>(span.count()) * kSpreadPercent / 100 + 1);
+      (static_cast<uint64_t>(span.count()) * kMaxSpreadPercent / 100 + 1);
   State& state = states_[target];
   if (now >= state.until) {
-    state.began = now;
-    state.refusals = 0;
+    state.first_rejected_at = now;
+    state.rejections = 0;
   }
   state.until =
       std::max(state.until, now + span + Millis(static_cast<int64_t>(spread)));
-  state.last_refusal = now;
-  ++state.refusals;
-  state.told = false;
-  state.most_waiting = 1;
+  state.last_rejected_at = now;
+  ++state.rejections;
+  state.end_taken = false;
+  state.max_unanswered = 1;
 }
 
 void TargetBackoff::OnSent(TargetId target, RequestId request, Millis now) {
   const auto found = states_.find(target);
   if (found == states_.end() || now < found->second.until)
     return;
-  if (waiting_.try_emplace(request, target).second)
-    ++found->second.waiting;
+  if (unanswered_.try_emplace(request, target).second)
+    ++found->second.unanswered;
 }
 
 void TargetBackoff::OnEnded(RequestId request) {
-  const auto found = waiting_.find(request);
-  if (found == waiting_.end())
+  const auto found = unanswered_.find(request);
+  if (found == unanswered_.end())
     return;
-  --states_.at(found->second).waiting;
-  waiting_.erase(found);
+  --states_.at(found->second).unanswered;
+  unanswered_.erase(found);
 }
 
 void TargetBackoff::OnTaken(RequestId request) {
-  const auto found = waiting_.find(request);
-  if (found == waiting_.end())
+  const auto found = unanswered_.find(request);
+  if (found == unanswered_.end())
     return;
-  ++states_.at(found->second).most_waiting;
+  ++states_.at(found->second).max_unanswered;
   OnEnded(request);
 }
 
@@ -76,8 +79,8 @@
   if (found == states_.end())
     return true;
   const State& state = found->second;
-  return now >= state.until && (state.most_waiting > kTrustedAfter ||
-                                state.waiting < state.most_waiting);
+  return now >= state.until && (state.max_unanswered > kAnswersUntilUnlimited ||
+                                state.unanswered < state.max_unanswered);
 }
 
 auto TargetBackoff::Left(TargetId target, Millis now) const -> Millis {
@@ -90,21 +93,22 @@
 auto TargetBackoff::TakeEnded(Millis now) -> std::vector<Ended> {
   std::vector<Ended> ended;
   for (auto& [target, state] : states_) {
-    if (state.told || now < state.until)
+    if (state.end_taken || now < state.until)
       continue;
-    state.told = true;
-    ended.push_back({target, state.until - state.began, state.refusals,
-                     state.last_refusal - state.began});
+    state.end_taken = true;
+    ended.push_back({target, state.until - state.first_rejected_at,
+                     state.rejections,
+                     state.last_rejected_at - state.first_rejected_at});
   }
-  const auto forgotten = [&](const State& state) {
-    return state.told && (state.most_waiting > kTrustedAfter ||
-                          now - state.until >= kForgottenAfter);
+  const auto is_dropped = [&](const State& state) {
+    return state.end_taken && (state.max_unanswered > kAnswersUntilUnlimited ||
+                               now - state.until >= kRetention);
   };
-  std::erase_if(waiting_, [&](const auto& entry) {
-    return forgotten(states_.at(entry.second));
+  std::erase_if(unanswered_, [&](const auto& entry) {
+    return is_dropped(states_.at(entry.second));
   });
   std::erase_if(states_,
-                [&](const auto& entry) { return forgotten(entry.second); });
+                [&](const auto& entry) { return is_dropped(entry.second); });
   return ended;
 }
 
--- a/sparbend/core/target_backoff.h
+++ b/sparbend/core/target_backoff.h
@@ -1,16 +1,20 @@
-// Targets that turned requests away and asked this box for none for a while
-// (Retry-After). Nothing is sent to such a target until that time is over.
-// Then it gets one request, and one more at a time for each that it takes, so
-// that what has waited does not fill it again at once.
+// Backoff of targets that rejected a request of this box with Retry-After.
+// Nothing is sent to such a target until the time it asked for has passed. Then
+// it is sent one request, and the limit on unanswered requests grows by one
+// with each request that it starts to answer, so that the requests that have
+// queued up do not fill it again immediately.
 //
 //   backoff.OnRetryAfter(target, Millis(3'000), now);
 //   if (backoff.MaySend(target, now)) {
 //     backoff.OnSent(target, request, now);
-//     backoff.OnTaken(request); or backoff.OnEnded(request);
+//     ...
+//     backoff.OnTaken(request);   // its answer has started
+//     backoff.OnEnded(request);   // or it has ended in any way
 //   }
 //
-// Pure. Kept by target and not by the list of targets: neither a new list or
-// configuration nor another address ends the time that a target asked for.
+// Does no I/O and reads no clock. The state is kept by target id, apart from
+// the list of targets: neither a new list, nor a new configuration, nor a
+// changed address ends a backoff.
 #ifndef SPARBEND_CORE_TARGET_BACKOFF_H_
 #define SPARBEND_CORE_TARGET_BACKOFF_H_
 
@@ -27,53 +31,56 @@
 
 class TargetBackoff {
  public:
-  // What tells this box apart from others, which were asked at the same time.
+  // Sets a value that differs between boxes, which spreads the ends of backoffs
+  // that a target asked of several boxes at the same time.
   void SetSeed(uint64_t seed) { seed_ = seed; }
 
-  // `target` turned a request away at `now` and wants none for `span`.
+  // `target` rejected a request at `now` and asked for none within `span`. No
+  // effect if `span` is not positive.
   void OnRetryAfter(TargetId target, Millis span, Millis now);
-  // A request goes to `target`.
+  // A request is sent to `target`.
   void OnSent(TargetId target, RequestId request, Millis now);
-  // A request's answer has begun: the target had room for it.
+  // The answer to a request has started: the target had capacity for it.
   void OnTaken(RequestId request);
-  // A request has ended, taken or not.
+  // A request has ended, whether or not its answer had started.
   void OnEnded(RequestId request);
 
-  // Whether a further request may go to `target`.
+  // Whether another request may be sent to `target`.
   auto MaySend(TargetId target, Millis now) const -> bool;
-  // What is left of the time for which `target` wants nothing; zero: none.
+  // Remaining time for which nothing may be sent to `target`; zero: no backoff.
   auto Left(TargetId target, Millis now) const -> Millis;
-  // Whether no target is known here: MaySend is true for all.
+  // Whether no target has state here; then MaySend is true for all.
   auto empty() const -> bool { return states_.empty(); }
 
-  // How a time that a target asked for went.
+  // A backoff that has ended.
   struct Ended {
     TargetId target = 0;
-    Millis asked;         // from its first refusal to the end
-    int refusals = 0;     // in all
-    Millis last_refusal;  // after the first
+    Millis asked;         // from its first rejection to its end
+    int refusals = 0;     // rejections, including the first
+    Millis last_refusal;  // time of the last rejection after the first
 
     auto operator==(const Ended&) const -> bool = default;
   };
-  // Those that ended since the last call. Also forgets targets that were not
-  // heard of for long.
+  // Backoffs that ended since the last call. Also drops the state of targets
+  // that no longer need it.
   auto TakeEnded(Millis now) -> std::vector<Ended>;
 
  private:
   struct State {
-    Millis began;
+    Millis first_rejected_at;
     Millis until;
-    Millis last_refusal;
-    int refusals = 0;
-    bool told = false;  // its end was taken
-    // Since the end:
-    int most_waiting = 1;  // requests that may be without an answer
-    int waiting = 0;
+    Millis last_rejected_at;
+    int rejections = 0;
+    bool end_taken = false;  // by TakeEnded
+    // After `until`:
+    int max_unanswered = 1;  // limit on `unanswered`
+    int unanswered = 0;      // requests sent whose answer has not started
   };
 
   uint64_t seed_ = 0;
   std::map<TargetId, State> states_;
-  std::unordered_map<RequestId, TargetId> waiting_;  // requests sent since
+  // Unanswered requests that were sent after a backoff of their target.
+  std::unordered_map<RequestId, TargetId> unanswered_;
 };
 
 }  // namespace sparbend
--- a/sparbend/core/target_backoff_test.cc
+++ b/sparbend/core/target_backoff_test.cc
@@ -1,5 +1,5 @@
-// A target got more than it had asked for within the time that it asked for, or
-// all that had waited at the end of it.
+// Guards against two failures: a target is sent requests within the time for
+// which it asked for none, or is sent all queued requests at the end of it.
 #include "sparbend/core/target_backoff.h"
 
 #include <algorithm>
@@ -15,61 +15,63 @@
 
 TEST_GROUP(TargetBackoff){};
 
-TEST(TargetBackoff, IsLeftAloneForTheLongestTimeAskedFor) {
-  struct Refusal {
-    int64_t at;
-    int64_t span;
+TEST(TargetBackoff, LastsForTheLongestSpanAskedFor) {
+  struct Rejection {
+    int64_t at_ms;
+    int64_t span_ms;
   };
   struct Case {
     const char* what;
-    std::vector<Refusal> refusals;
-    int64_t until;
+    std::vector<Rejection> rejections;
+    int64_t until_ms;
   };
   const Case cases[] = {
-      {"one", {{0, 3'000}}, 3'000},
-      {"a fraction", {{0, 1}}, 1},
-      {"a shorter one after it", {{0, 3'000}, {100, 500}}, 3'000},
-      {"a longer one after it", {{0, 500}, {100, 3'000}}, 3'100},
-      {"nothing asked for", {{0, 0}}, 0},
+      {"one rejection", {{0, 3'000}}, 3'000},
+      {"the shortest span", {{0, 1}}, 1},
+      {"then a shorter span", {{0, 3'000}, {100, 500}}, 3'000},
+      {"then a longer span", {{0, 500}, {100, 3'000}}, 3'100},
+      {"a span of zero", {{0, 0}}, 0},
       {"a negative span", {{0, -5}}, 0},
   };
   for (const Case& row : cases) {
     for (uint64_t seed = 0; seed < 20; ++seed) {
       TargetBackoff backoff;
       backoff.SetSeed(seed);
-      for (const Refusal& refusal : row.refusals)
-        backoff.OnRetryAfter(kTarget, Millis(refusal.span), Millis(refusal.at));
-      const int64_t from = row.refusals.back().at;
-      for (int64_t at = from; at < row.until; ++at)
+      for (const Rejection& rejection : row.rejections)
+        backoff.OnRetryAfter(kTarget, Millis(rejection.span_ms),
+                             Millis(rejection.at_ms));
+      const int64_t from = row.rejections.back().at_ms;
+      for (int64_t at = from; at < row.until_ms; ++at)
         CHECK_TEXT(!backoff.MaySend(kTarget, Millis(at)), row.what);
-      CHECK_TEXT(backoff.MaySend(kTarget, Millis(from + row.until * 11 / 10)),
-                 row.what);
+      CHECK_TEXT(
+          backoff.MaySend(kTarget, Millis(from + row.until_ms * 11 / 10)),
+          row.what);
       CHECK_TEXT(backoff.MaySend(kTarget + 1, Millis(from)), row.what);
     }
   }
 }
 
-TEST(TargetBackoff, TakesOneRequestMoreWithEachThatItTook) {
+TEST(TargetBackoff, LimitGrowsByOneWithEachAnswer) {
   TargetBackoff backoff;
   backoff.OnRetryAfter(kTarget, Millis(1'000), Millis(0));
   const Millis now(2'000);
-  RequestId next = 1;
-  for (int most = 1; most <= 16; ++most) {
-    const RequestId first = next;
+  RequestId next_id = 1;
+  for (int limit = 1; limit <= 16; ++limit) {
+    const RequestId first = next_id;
     while (backoff.MaySend(kTarget, now))
-      backoff.OnSent(kTarget, next++, now);
-    LONGS_EQUAL(most, next - first);
-    for (RequestId request = first + 1; request < next; ++request)
+      backoff.OnSent(kTarget, next_id++, now);
+    LONGS_EQUAL(limit, next_id - first);
+    for (RequestId request = first + 1; request < next_id; ++request)
       backoff.OnEnded(request);
     backoff.OnTaken(first);
   }
   for (int i = 0; i < 100; ++i) {
     CHECK(backoff.MaySend(kTarget, now));
-    backoff.OnSent(kTarget, next++, now);
+    backoff.OnSent(kTarget, next_id++, now);
   }
 }
 
-TEST(TargetBackoff, StartsAnewWhenItIsTurnedAwayAgain) {
+TEST(TargetBackoff, RejectionResetsTheLimit) {
   TargetBackoff backoff;
   backoff.OnRetryAfter(kTarget, Millis(1'000), Millis(0));
   backoff.OnSent(kTarget, 1, Millis(2'000));
@@ -77,14 +79,14 @@
   backoff.OnSent(kTarget, 2, Millis(2'000));
   backoff.OnRetryAfter(kTarget, Millis(1'000), Millis(2'000));
   CHECK(!backoff.MaySend(kTarget, Millis(2'999)));
-  CHECK(!backoff.MaySend(kTarget, Millis(3'200)));  // the second is unanswered
+  CHECK(!backoff.MaySend(kTarget, Millis(3'200)));  // request 2 is unanswered
   backoff.OnEnded(2);
   CHECK(backoff.MaySend(kTarget, Millis(3'200)));
   backoff.OnSent(kTarget, 3, Millis(3'200));
   CHECK(!backoff.MaySend(kTarget, Millis(3'200)));
 }
 
-TEST(TargetBackoff, ToldOnceHowEachTimeWent) {
+TEST(TargetBackoff, TakeEndedReturnsEachBackoffOnce) {
   TargetBackoff backoff;
   backoff.OnRetryAfter(kTarget, Millis(1'000), Millis(100));
   backoff.OnRetryAfter(kTarget, Millis(1'000), Millis(150));
@@ -102,15 +104,15 @@
   CHECK(backoff.empty());
 }
 
-// Random calls against a list of all refusals and requests.
-TEST(TargetBackoff, NeverSendsWithinATimeAskedFor) {
+// Compares random calls with a model of all rejections and requests.
+TEST(TargetBackoff, NeverSendsWithinASpanAskedFor) {
   std::mt19937_64 random(1);
   for (int round = 0; round < 200; ++round) {
     TargetBackoff backoff;
     backoff.SetSeed(random());
     std::map<TargetId, Millis> until;
-    std::set<RequestId> under_way;
-    RequestId next = 1;
+    std::set<RequestId> in_flight;
+    RequestId next_id = 1;
     Millis now(1'000);
     for (int step = 0; step < 500; ++step) {
       now = now + Millis(static_cast<int64_t>(random() % 50));
@@ -126,14 +128,14 @@
           if (!backoff.MaySend(target, now))
             break;
           CHECK(now >= until[target]);
-          backoff.OnSent(target, next, now);
-          under_way.insert(next++);
+          backoff.OnSent(target, next_id, now);
+          in_flight.insert(next_id++);
           break;
         case 2:
-          if (!under_way.empty()) {
-            backoff.OnTaken(*under_way.begin());
-            backoff.OnEnded(*under_way.begin());
-            under_way.erase(under_way.begin());
+          if (!in_flight.empty()) {
+            backoff.OnTaken(*in_flight.begin());
+            backoff.OnEnded(*in_flight.begin());
+            in_flight.erase(in_flight.begin());
           }
           break;
         default:
@@ -141,7 +143,7 @@
           break;
       }
     }
-    for (const RequestId request : under_way)
+    for (const RequestId request : in_flight)
       backoff.OnEnded(request);
     backoff.TakeEnded(now + Millis(60'000));
     CHECK(backoff.empty());
--- a/sparbend/core/target_health.h
+++ b/sparbend/core/target_health.h
@@ -1,7 +1,9 @@
-// Passive health: each target is judged by what became of this box's own
-// requests there. A target that fails is left out for a while, which grows
-// each time, and then tried again. One that no connection can be made to is
-// left out until one can: a request is a poor way to find that out.
+// Passive health checks: judges each target by the outcomes of this box's own
+// requests to it. A failing target is ejected (excluded from choice) for a time
+// that doubles with each ejection, up to a bound, and is then tried again. A
+// target to which connecting times out is ejected for the longest time, or
+// until a probe connects to it (OnReachable): client requests are a poor means
+// of finding out whether it can be reached.
 //
 //   health.OnOutcome(target, TargetOutcome::kFailed, now);
 //   if (health.Usable(target, now)) ...
@@ -17,33 +19,34 @@
 namespace sparbend {
 
 enum class TargetOutcome {
-  kGood,          // a whole answer that is no failure, or a true refusal
-  kFailed,        // a failure, a broken answer, bytes that are none
-  kUnreachable,   // the connection died without an answer
-  kRefused,       // nobody listens there: it ended, or has not started yet
-  kNoConnection,  // none could be made
+  kGood,          // a complete answer without failure, or a valid refusal
+  kFailed,        // an error, an incomplete answer, or a malformed one
+  kUnreachable,   // the connection broke without an answer
+  kRefused,       // connection refused: the process exited or is not up yet
+  kNoConnection,  // connecting timed out
 };
 
 auto ToString(TargetOutcome outcome) -> std::string_view;
 
 class TargetHealth {
  public:
-  // True if the target is left out from now on.
+  // Records the outcome of one request. True if it ejects the target, which was
+  // usable until now.
   auto OnOutcome(TargetId target, TargetOutcome outcome, Millis now) -> bool;
   auto Usable(TargetId target, Millis now) const -> bool;
-  // A connection could be made to a target that was left out for want of one;
-  // for how long there was none.
+  // Ends an ejection by kNoConnection: a connection to the target was made.
+  // Returns the time since the first such outcome; zero if there was none.
   auto OnReachable(TargetId target, Millis now) -> Millis;
-  // Share of late outcomes that failed, 0 to 1.
+  // Exponential moving average of failed outcomes, 0 to 1.
   auto FailureShare(TargetId target) const -> double;
 
  private:
   struct State {
-    double failures = 0;  // moving average
-    int in_a_row = 0;
-    int ejections = 0;
-    Millis out_until;
-    bool no_connection = false;  // the reason it is out
+    double failure_rate = 0;         // moving average, 0 to 1
+    int unreachable_since_good = 0;  // outcomes since the last kGood
+    int ejections = 0;               // since the target was last healthy
+    Millis ejected_until;
+    bool no_connection = false;  // connecting timed out, no success since
     Millis no_connection_since;
   };
 
--- a/sparbend/core/target_health_test.cc
+++ b/sparbend/core/target_health_test.cc
@@ -5,19 +5,20 @@
 namespace sparbend {
 namespace {
 
-constexpr TargetId kFirst = 101;
+constexpr TargetId kTarget = 101;
 
 TEST_GROUP(TargetHealth) {
   TargetHealth health;
-  auto Feed(TargetOutcome outcome, int count, Millis at) -> bool {
+  // Records `count` equal outcomes; true if one of them ejected the target.
+  auto Record(TargetOutcome outcome, int count, Millis now) -> bool {
     bool ejected = false;
     for (int i = 0; i < count; ++i)
-      ejected = health.OnOutcome(kFirst, outcome, at) || ejected;
+      ejected = health.OnOutcome(kTarget, outcome, now) || ejected;
     return ejected;
   }
 };
 
-TEST(TargetHealth, LeavesOutWhatFails) {
+TEST(TargetHealth, EjectsAFailingTarget) {
   struct Case {
     const char* what;
     TargetOutcome outcome;
@@ -25,43 +26,44 @@
     bool ejected;
   };
   const Case cases[] = {
-      {"one that can't be reached once", TargetOutcome::kUnreachable, 1, false},
-      {"one that can't be reached twice", TargetOutcome::kUnreachable, 2, true},
-      {"no connection once", TargetOutcome::kNoConnection, 1, true},
-      {"one that failed twice", TargetOutcome::kFailed, 2, false},
-      {"one that fails always", TargetOutcome::kFailed, 6, true},
-      {"one that is well", TargetOutcome::kGood, 50, false},
+      {"unreachable once", TargetOutcome::kUnreachable, 1, false},
+      {"unreachable twice", TargetOutcome::kUnreachable, 2, true},
+      {"connecting timed out once", TargetOutcome::kNoConnection, 1, true},
+      {"failed twice", TargetOutcome::kFailed, 2, false},
+      {"fails each request", TargetOutcome::kFailed, 6, true},
+      {"healthy", TargetOutcome::kGood, 50, false},
   };
   for (const Case& row : cases) {
     health = TargetHealth();
-    CHECK_EQUAL_TEXT(row.ejected, Feed(row.outcome, row.count, Millis(100)),
+    CHECK_EQUAL_TEXT(row.ejected, Record(row.outcome, row.count, Millis(100)),
                      row.what);
-    CHECK_EQUAL_TEXT(!row.ejected, health.Usable(kFirst, Millis(101)),
+    CHECK_EQUAL_TEXT(!row.ejected, health.Usable(kTarget, Millis(101)),
                      row.what);
-    CHECK_TEXT(health.Usable(kFirst, Millis(10'000)), row.what);
+    CHECK_TEXT(health.Usable(kTarget, Millis(10'000)), row.what);
   }
 }
 
-TEST(TargetHealth, StaysOutLongerEachTimeUntilItIsWell) {
-  CHECK(Feed(TargetOutcome::kUnreachable, 2, Millis(0)));
-  CHECK(health.Usable(kFirst, Millis(500)));
-  CHECK(Feed(TargetOutcome::kUnreachable, 1, Millis(500)));
-  CHECK(!health.Usable(kFirst, Millis(1'200)));
-  Feed(TargetOutcome::kGood, 30, Millis(2'000));
-  CHECK(Feed(TargetOutcome::kUnreachable, 2, Millis(3'000)));
-  CHECK(health.Usable(kFirst, Millis(3'500)));
+TEST(TargetHealth, EjectionsLengthenUntilTheTargetIsHealthy) {
+  CHECK(Record(TargetOutcome::kUnreachable, 2, Millis(0)));
+  CHECK(health.Usable(kTarget, Millis(500)));
+  CHECK(Record(TargetOutcome::kUnreachable, 1, Millis(500)));
+  CHECK(!health.Usable(kTarget, Millis(1'200)));
+  Record(TargetOutcome::kGood, 30, Millis(2'000));
+  CHECK(Record(TargetOutcome::kUnreachable, 2, Millis(3'000)));
+  CHECK(health.Usable(kTarget, Millis(3'500)));
 }
 
-TEST(TargetHealth, WithoutConnectionsItStaysOutUntilOneCouldBeMade) {
-  CHECK(Feed(TargetOutcome::kNoConnection, 1, Millis(0)));
-  CHECK(!Feed(TargetOutcome::kNoConnection, 3, Millis(100)));  // out already
-  CHECK(!health.Usable(kFirst, Millis(4'000)));
-  health.OnReachable(kFirst, Millis(4'000));
-  CHECK(health.Usable(kFirst, Millis(4'000)));
-  // A connection proves nothing of a target that fails what it is asked.
-  CHECK(Feed(TargetOutcome::kFailed, 6, Millis(5'000)));
-  health.OnReachable(kFirst, Millis(5'001));
-  CHECK(!health.Usable(kFirst, Millis(5'001)));
+TEST(TargetHealth, OnReachableEndsOnlyAnEjectionByConnectTimeout) {
+  CHECK(Record(TargetOutcome::kNoConnection, 1, Millis(0)));
+  CHECK(!Record(TargetOutcome::kNoConnection, 3,
+                Millis(100)));  // already ejected
+  CHECK(!health.Usable(kTarget, Millis(4'000)));
+  health.OnReachable(kTarget, Millis(4'000));
+  CHECK(health.Usable(kTarget, Millis(4'000)));
+  // A successful connection does not end an ejection by failed requests.
+  CHECK(Record(TargetOutcome::kFailed, 6, Millis(5'000)));
+  health.OnReachable(kTarget, Millis(5'001));
+  CHECK(!health.Usable(kTarget, Millis(5'001)));
 }
 
 }  // namespace
