--- a/sparbend/core/interrupted_attempts.cc
+++ b/sparbend/core/interrupted_attempts.cc
@@ -1,12 +1,14 @@
-// All connections of a target that ends break at about the same time, but a
-// box reads them one after the other: the end may be known before the last of
-// them was read, so it is remembered for as long as the runs are.
+// When a target exits, all its connections break at about the same time, but
+// the box processes the errors one after the other. The exit may be known
+// before the last error is processed, so it is remembered for as long as the
+// attempts are.
 //
-// What is sent on a connection from before an end that is known reaches
-// nobody. It comes to that where a cut resets connections as they are used.
+// An attempt that is sent after a known exit, on a connection made before it,
+// cannot reach the target. This happens where a network fault resets a
+// connection only when it is used next.
 //
-// A full target may refuse connections and live: one that answers what was sent
-// to it after its end had not ended.
+// A full target may refuse connections though it is alive. A target that
+// answers an attempt that was sent after its supposed exit had not exited.
 #include "sparbend/core/interrupted_attempts.h"
 
 #include <utility>
@@ -14,67 +16,69 @@
 namespace sparbend {
 namespace {
 
-// After that a target that ended has ended for another reason. Well over the
-// time in which a list tells of an end that no connection told.
-constexpr Millis kKept = Millis(10'000);
-// More than a target runs for one box.
-constexpr size_t kMostRuns = 256;
-constexpr size_t kMostTargets = 1'024;
+// An exit more than this after an attempt was interrupted has another cause.
+// Well over the time within which the list of targets shows an exit that no
+// connection has shown.
+constexpr Millis kRetention = Millis(10'000);
+// Per target; more than a target executes for one box at the same time.
+constexpr size_t kMaxAttempts = 256;
+constexpr size_t kMaxTargets = 1'024;
 
 }  // namespace
 
 void InterruptedAttempts::Expire(Millis now) {
   std::erase_if(targets_, [&](const auto& entry) {
-    return now - entry.second.changed >= kKept;
+    return now - entry.second.changed_at >= kRetention;
   });
 }
 
-void InterruptedAttempts::Keep(const InterruptedAttempt& run,
-                               std::vector<InterruptedAttempt>* runs) {
-  if (runs->size() < kMostRuns)
-    runs->push_back(run);
+void InterruptedAttempts::AddBounded(
+    const InterruptedAttempt& attempt,
+    std::vector<InterruptedAttempt>* attempts) {
+  if (attempts->size() < kMaxAttempts)
+    attempts->push_back(attempt);
 }
 
 auto InterruptedAttempts::Add(TargetId target,
-                              const InterruptedAttempt& run,
+                              const InterruptedAttempt& attempt,
                               Millis now) -> bool {
   Expire(now);
-  if (!targets_.contains(target) && targets_.size() >= kMostTargets)
+  if (!targets_.contains(target) && targets_.size() >= kMaxTargets)
     return false;
   State& state = targets_[target];
-  state.changed = now;
-  const bool ended = state.ended && run.began <= state.ended_at;
-  // Sent on a connection that was dead already.
-  if (state.ended && !ended && run.connected <= state.ended_at)
+  state.changed_at = now;
+  const bool exited = state.exited && attempt.began <= state.exited_at;
+  // Sent on a connection made before the exit: it did not reach the target.
+  if (state.exited && !exited && attempt.connected_at <= state.exited_at)
     return false;
-  Keep(run, ended ? &state.handed_out : &state.runs);
-  return ended;
+  AddBounded(attempt, exited ? &state.reported : &state.pending);
+  return exited;
 }
 
 auto InterruptedAttempts::OnEnded(TargetId target, Millis now)
     -> std::vector<InterruptedAttempt> {
   Expire(now);
-  if (!targets_.contains(target) && targets_.size() >= kMostTargets)
+  if (!targets_.contains(target) && targets_.size() >= kMaxTargets)
     return {};
   State& state = targets_[target];
-  state.changed = now;
-  state.ended = true;
-  state.ended_at = now;
-  for (const InterruptedAttempt& run : state.runs)
-    Keep(run, &state.handed_out);
-  return std::exchange(state.runs, {});
+  state.changed_at = now;
+  state.exited = true;
+  state.exited_at = now;
+  for (const InterruptedAttempt& attempt : state.pending)
+    AddBounded(attempt, &state.reported);
+  return std::exchange(state.pending, {});
 }
 
-auto InterruptedAttempts::OnAnswered(TargetId target, Millis began)
+auto InterruptedAttempts::OnAnswered(TargetId target, Millis sent_at)
     -> std::vector<InterruptedAttempt> {
   const auto found = targets_.find(target);
   if (found == targets_.end())
     return {};
   State& state = found->second;
-  if (!state.ended || began <= state.ended_at)
+  if (!state.exited || sent_at <= state.exited_at)
     return {};
-  state.ended = false;
-  return std::exchange(state.handed_out, {});
+  state.exited = false;
+  return std::exchange(state.reported, {});
 }
 
 }  // namespace sparbend
--- a/sparbend/core/interrupted_attempts.h
+++ b/sparbend/core/interrupted_attempts.h
@@ -1,13 +1,17 @@
-// Requests whose connection broke while a target had them, kept until it is
-// known whether the target ended. A broken connection alone doesn't tell: the
-// network cuts them, and targets that live on break off answers.
+// Attempts whose connection broke while a target was executing them, kept until
+// it is known whether the target exited. A broken connection alone is no proof:
+// the network breaks connections too, and a live target may abort an answer.
 //
-//   if (runs.Add(target, run, now)) ...        // it is known already
-//   for (const InterruptedAttempt& run : runs.OnEnded(target, now)) ...
-//   for (const InterruptedAttempt& run : runs.OnAnswered(target, sent)) take it
-//   back
+//   if (attempts.Add(target, attempt, now))
+//     suspect(attempt);   // the exit is known already
+//   for (const InterruptedAttempt& attempt : attempts.OnEnded(target, now))
+//     suspect(attempt);
+//   for (const InterruptedAttempt& attempt :
+//        attempts.OnAnswered(target, sent_at))
+//     clear(attempt);     // the target had not exited
 //
-// Pure; O(log targets) a call.
+// Does no I/O and reads no clock. Calls with `now` visit all targets, of which
+// there are at most 1,024.
 #ifndef SPARBEND_CORE_INTERRUPTED_ATTEMPTS_H_
 #define SPARBEND_CORE_INTERRUPTED_ATTEMPTS_H_
 
@@ -22,38 +26,42 @@
 
 struct InterruptedAttempt {
   Fingerprint request;
-  SuspicionVersion stamp;
-  Millis connected;  // when its connection was made
-  Millis began;      // when it was sent
+  SuspicionVersion stamp;  // when the attempt was sent
+  Millis connected_at;     // when its connection was made
+  Millis began;            // when the attempt was sent
 
   auto operator==(const InterruptedAttempt&) const -> bool = default;
 };
 
 class InterruptedAttempts {
  public:
-  // True if `target` is known to have ended since the run began; else the run
-  // is kept, within a bound, unless it never reached the target.
-  auto Add(TargetId target, const InterruptedAttempt& run, Millis now) -> bool;
-  // This life of `target` has ended; the runs that broke there lately, each
-  // handed out once.
+  // Adds an attempt whose connection to `target` broke. True if the target is
+  // known to have exited since the attempt was sent. Otherwise the attempt is
+  // kept for OnEnded, up to a bound per target, unless it cannot have reached
+  // the target.
+  auto Add(TargetId target, const InterruptedAttempt& attempt, Millis now)
+      -> bool;
+  // The process of `target` has exited. Returns the attempts that were recently
+  // interrupted there, each once.
   auto OnEnded(TargetId target, Millis now) -> std::vector<InterruptedAttempt>;
-  // `target` answered a run that was sent at `began`. The runs handed out for
-  // an end that was none, if that was later.
-  auto OnAnswered(TargetId target, Millis began)
+  // `target` answered an attempt that was sent at `sent_at`. If that is later
+  // than the exit that was recorded, the target had not exited: returns the
+  // attempts that were reported for that exit, each once.
+  auto OnAnswered(TargetId target, Millis sent_at)
       -> std::vector<InterruptedAttempt>;
 
  private:
   struct State {
-    std::vector<InterruptedAttempt> runs;
-    std::vector<InterruptedAttempt> handed_out;
-    Millis changed;
-    bool ended = false;
-    Millis ended_at;
+    std::vector<InterruptedAttempt> pending;   // not known whether it exited
+    std::vector<InterruptedAttempt> reported;  // for the exit at exited_at
+    Millis changed_at;
+    bool exited = false;
+    Millis exited_at;
   };
 
   void Expire(Millis now);
-  static void Keep(const InterruptedAttempt& run,
-                   std::vector<InterruptedAttempt>* runs);
+  static void AddBounded(const InterruptedAttempt& attempt,
+                         std::vector<InterruptedAttempt>* attempts);
 
   std::map<TargetId, State> targets_;
 };
--- a/sparbend/core/interrupted_attempts_test.cc
+++ b/sparbend/core/interrupted_attempts_test.cc
@@ -6,100 +6,104 @@
 namespace {
 
 constexpr TargetId kTarget = 7;
-constexpr TargetId kOther = 8;
+constexpr TargetId kOtherTarget = 8;
 
-auto RunOf(uint32_t body, Millis began) -> InterruptedAttempt {
-  return {{1, 2, body}, SuspicionVersion(), began, began};
+auto AttemptOf(uint32_t body, Millis sent_at) -> InterruptedAttempt {
+  return {{1, 2, body}, SuspicionVersion(), sent_at, sent_at};
 }
 
 TEST_GROUP(InterruptedAttempts){};
 
-TEST(InterruptedAttempts, AreHandedOutOnceTheirTargetIsKnownToHaveEnded) {
-  InterruptedAttempts runs;
+TEST(InterruptedAttempts, AreReturnedOnceWhenTheirTargetExits) {
+  InterruptedAttempts attempts;
   const Millis now(1'000);
-  CHECK_FALSE(runs.Add(kTarget, RunOf(1, now), now));
-  CHECK_FALSE(runs.Add(kTarget, RunOf(2, now), now));
-  CHECK_FALSE(runs.Add(kOther, RunOf(3, now), now));
-  const auto ended = runs.OnEnded(kTarget, now + Millis(5));
-  LONGS_EQUAL(2, ended.size());
-  CHECK(ended[0] == RunOf(1, now));
-  CHECK(runs.OnEnded(kTarget, now + Millis(6)).empty());
+  CHECK_FALSE(attempts.Add(kTarget, AttemptOf(1, now), now));
+  CHECK_FALSE(attempts.Add(kTarget, AttemptOf(2, now), now));
+  CHECK_FALSE(attempts.Add(kOtherTarget, AttemptOf(3, now), now));
+  const auto interrupted = attempts.OnEnded(kTarget, now + Millis(5));
+  LONGS_EQUAL(2, interrupted.size());
+  CHECK(interrupted[0] == AttemptOf(1, now));
+  CHECK(attempts.OnEnded(kTarget, now + Millis(6)).empty());
 }
 
-// When a run began, when its connection broke, and whether it then counts as
-// ended with a target whose end was known at 1,000.
-TEST(InterruptedAttempts, ThatAreReadAfterTheEndIsKnownCountIfTheyBeganBefore) {
+// When an attempt was sent, when its connection broke, and whether it was then
+// interrupted by the exit of its target, which was recorded at 1,000 ms.
+TEST(InterruptedAttempts, AddedAfterTheExitCountIfSentBeforeIt) {
   struct Case {
-    int64_t began;
-    int64_t broke;
-    bool ended;
+    int64_t sent_at;
+    int64_t broken_at;
+    bool exited;
   };
   const Case cases[] = {
       {900, 1'010, true},    {1'000, 1'500, true},
-      {1'001, 1'010, false}, {900, 10'999, true},  // remembered for ten seconds
+      {1'001, 1'010, false}, {900, 10'999, true},  // exits are kept for 10 s
       {900, 11'000, false},
   };
   for (const Case& row : cases) {
-    InterruptedAttempts runs;
-    runs.OnEnded(kTarget, Millis(1'000));
-    CHECK(runs.Add(kTarget, RunOf(1, Millis(row.began)), Millis(row.broke)) ==
-          row.ended);
+    InterruptedAttempts attempts;
+    attempts.OnEnded(kTarget, Millis(1'000));
+    CHECK(attempts.Add(kTarget, AttemptOf(1, Millis(row.sent_at)),
+                       Millis(row.broken_at)) == row.exited);
   }
 }
 
-// When a run's connection was made, and whether the run is blamed for an end
-// after the one that was known at 1,000; it began after that.
-TEST(InterruptedAttempts, OnConnectionsOfBeforeAKnownEndReachNobody) {
+// When the connection of an attempt was made, and how many attempts a second
+// exit interrupts. The attempt is sent after a first exit at 1,000 ms.
+TEST(InterruptedAttempts, SentAfterAnExitOnAnOlderConnectionAreDropped) {
   struct Case {
-    int64_t connected;
-    size_t blamed;
+    int64_t connected_at;
+    size_t interrupted;
   };
   const Case cases[] = {{900, 0}, {1'000, 0}, {1'001, 1}};
   for (const Case& row : cases) {
-    InterruptedAttempts runs;
-    runs.OnEnded(kTarget, Millis(1'000));
-    CHECK_FALSE(runs.Add(
-        kTarget,
-        {{1, 2, 3}, SuspicionVersion(), Millis(row.connected), Millis(1'100)},
-        Millis(1'200)));
-    LONGS_EQUAL(row.blamed, runs.OnEnded(kTarget, Millis(1'210)).size());
+    InterruptedAttempts attempts;
+    attempts.OnEnded(kTarget, Millis(1'000));
+    CHECK_FALSE(attempts.Add(kTarget,
+                             {{1, 2, 3},
+                              SuspicionVersion(),
+                              Millis(row.connected_at),
+                              Millis(1'100)},
+                             Millis(1'200)));
+    LONGS_EQUAL(row.interrupted,
+                attempts.OnEnded(kTarget, Millis(1'210)).size());
   }
 }
 
-// When the answered run was sent, and how many runs are taken back.
-TEST(InterruptedAttempts, AreTakenBackOnceTheirTargetAnswersALaterRequest) {
+// When the answered attempt was sent, and how many attempts are returned to be
+// cleared, after an exit recorded at 1,000 ms.
+TEST(InterruptedAttempts, AreClearedWhenTheirTargetAnswersALaterAttempt) {
   struct Case {
-    int64_t sent;
-    size_t taken_back;
+    int64_t sent_at;
+    size_t cleared;
   };
   const Case cases[] = {{900, 0}, {1'000, 0}, {1'001, 2}};
   for (const Case& row : cases) {
-    InterruptedAttempts runs;
-    runs.Add(kTarget, RunOf(1, Millis(800)), Millis(990));
-    runs.OnEnded(kTarget, Millis(1'000));
-    CHECK(runs.Add(kTarget, RunOf(2, Millis(800)), Millis(1'010)));
-    LONGS_EQUAL(row.taken_back,
-                runs.OnAnswered(kTarget, Millis(row.sent)).size());
-    CHECK(runs.OnAnswered(kOther, Millis(2'000)).empty());
+    InterruptedAttempts attempts;
+    attempts.Add(kTarget, AttemptOf(1, Millis(800)), Millis(990));
+    attempts.OnEnded(kTarget, Millis(1'000));
+    CHECK(attempts.Add(kTarget, AttemptOf(2, Millis(800)), Millis(1'010)));
+    LONGS_EQUAL(row.cleared,
+                attempts.OnAnswered(kTarget, Millis(row.sent_at)).size());
+    CHECK(attempts.OnAnswered(kOtherTarget, Millis(2'000)).empty());
   }
 }
 
-TEST(InterruptedAttempts, ThatBrokeLongBeforeAreForgotten) {
-  InterruptedAttempts runs;
-  runs.Add(kTarget, RunOf(1, Millis(0)), Millis(0));
-  CHECK(runs.OnEnded(kTarget, Millis(10'000)).empty());
+TEST(InterruptedAttempts, ExpireAfterTheRetention) {
+  InterruptedAttempts attempts;
+  attempts.Add(kTarget, AttemptOf(1, Millis(0)), Millis(0));
+  CHECK(attempts.OnEnded(kTarget, Millis(10'000)).empty());
 }
 
-TEST(InterruptedAttempts, OfOneTargetAreBounded) {
-  InterruptedAttempts runs;
+TEST(InterruptedAttempts, AreBoundedPerTarget) {
+  InterruptedAttempts attempts;
   for (uint32_t i = 0; i < 1'000; ++i)
-    runs.Add(kTarget, RunOf(i, Millis(1)), Millis(1));
-  LONGS_EQUAL(256, runs.OnEnded(kTarget, Millis(2)).size());
+    attempts.Add(kTarget, AttemptOf(i, Millis(1)), Millis(1));
+  LONGS_EQUAL(256, attempts.OnEnded(kTarget, Millis(2)).size());
 }
 
 TEST_GROUP(Fingerprints){};
 
-TEST(Fingerprints, DifferInWorkspaceMethodPathAndBodyAlone) {
+TEST(Fingerprints, DependOnWorkspaceMethodPathAndBody) {
   const Fingerprint base = FingerprintOf(1, "POST", "/a/b?c", "body");
   CHECK(base == FingerprintOf(1, "POST", "/a/b?c", "body"));
   CHECK(base != FingerprintOf(2, "POST", "/a/b?c", "body"));
@@ -109,7 +113,7 @@
   LONGS_EQUAL(PathDigest("POST", "/a/b?c"), base.path);
 }
 
-TEST(Fingerprints, AreShownAsThreeNumbers) {
+TEST(Fingerprints, AreWrittenAsThreeHexadecimalNumbers) {
   STRCMP_EQUAL("1.ff.0", ToString(Fingerprint{1, 255, 0}).c_str());
 }
 
--- a/sparbend/core/quarantine.cc
+++ b/sparbend/core/quarantine.cc
@@ -1,16 +1,18 @@
-// A row counts how many targets ended under a request one after the other. A
-// run carries what was known when it was sent; if its target ends, the count
-// becomes at least one more than that. So copies that were on their way at the
-// same time, and all that a rack takes with it, count once; a request counts
-// twice only if it was sent again after an end was known, and its target ended
-// again. That is an order of events and needs no clocks that agree.
+// A row counts how many targets exited in succession while they executed a
+// request. Each attempt carries the version of the row at the time when it was
+// sent; if its target exits, the row's count becomes at least one more than the
+// count in that version. Hence copies of a request that were in flight at the
+// same time count once, as do all exits by the failure of a rack. A request is
+// counted twice only if it was sent again after the first exit was known, and
+// its target exited again. This orders events without synchronised clocks.
 //
-// A whole answer clears the row: what runs to its end somewhere does not end
-// its targets. It begins a new count, and ends that belong to the one before
-// are ignored wherever they are heard.
+// A complete answer clears the row, as a request that is executed to completion
+// does not crash its targets. Clearing starts a new count; on all boxes, exits
+// that belong to an earlier count are ignored.
 //
-// Invariant: a row only rises, by (cleared, ends); merging takes the higher
-// one, so words may be lost, repeated and overtake each other.
+// Invariant: the version of a row only increases, in the order of (cleared,
+// ends). Merging takes the higher version, so reports may be lost, repeated or
+// reordered.
 #include "sparbend/core/quarantine.h"
 
 #include <algorithm>
@@ -19,35 +21,40 @@
 namespace sparbend {
 namespace {
 
-// One end is chance; two in a row are hardly.
-constexpr uint32_t kEndsToBlock = 2;
-// The first block is short, as a request that is blamed by chance must come
-// free; each end after it makes it ten times as long.
-constexpr int64_t kFirstBlockMs = 120'000;
+// One exit may be a coincidence; two in succession hardly are.
+constexpr uint32_t kExitsToBlock = 2;
+// The first block is short, as a request that is suspected by coincidence must
+// be released; each further exit makes the block ten times as long.
+constexpr int64_t kInitialBlockMs = 120'000;
 constexpr int64_t kBlockFactor = 10;
-constexpr int64_t kLongestBlockMs = 12'000'000;
-// What is not blocked is remembered for so long after its last change.
-constexpr Millis kRemembered = Millis(600'000);
-constexpr uint32_t kMostEnds = 1'000;
-// A workspace whose requests end many targets pushes out its own rows only.
-constexpr size_t kMostOfWorkspace = 256;
-constexpr size_t kMostRows = 2'048;
-// Told with each word for so long after a change.
-constexpr Millis kRecent = Millis(2'000);
-constexpr size_t kRecentPerWord = 3;
-constexpr size_t kOthersPerWord = 1;
-constexpr Millis kToldFor = Millis(50);
-constexpr int64_t kSecondMs = 1'000;
-
-auto BlockSpan(uint32_t ends) -> Millis {
-  int64_t span = ends < kEndsToBlock ? 0 : kFirstBlockMs;
-  for (uint32_t more = kEndsToBlock; more < ends && span < kLongestBlockMs;
-       ++more)
+constexpr int64_t kMaxBlockMs = 12'000'000;
+// Rows are kept for this time after their block ends, or after their last
+// change if they are not blocked.
+constexpr Millis kRetention = Millis(600'000);
+constexpr uint32_t kMaxExits = 1'000;
+// A workspace with many suspected requests evicts only its own rows, up to the
+// limit over all workspaces.
+constexpr size_t kMaxRowsPerWorkspace = 256;
+constexpr size_t kMaxRows = 2'048;
+// Recently changed rows are sent with each load report for this time.
+constexpr Millis kRecentWindow = Millis(2'000);
+constexpr size_t kRecentRowsPerReport = 3;
+// Rows sent in rotation.
+constexpr size_t kOtherRowsPerReport = 1;
+// RowsToReport returns the same rows for this time, as it may be called for
+// each request.
+constexpr Millis kReportLifetime = Millis(50);
+constexpr int64_t kMillisPerSecond = 1'000;
+
+auto BlockDuration(uint32_t exits) -> Millis {
+  int64_t span = exits < kExitsToBlock ? 0 : kInitialBlockMs;
+  for (uint32_t counted = kExitsToBlock; counted < exits && span < kMaxBlockMs;
+       ++counted)
     span *= kBlockFactor;
-  return Millis(std::min(span, kLongestBlockMs));
+  return Millis(std::min(span, kMaxBlockMs));
 }
 
-auto FirstOf(WorkspaceId workspace) -> Fingerprint {
+auto LowestFingerprintOf(WorkspaceId workspace) -> Fingerprint {
   return {workspace, 0, 0};
 }
 
@@ -62,7 +69,7 @@
 auto Quarantine::SuspicionVersionOf(const Fingerprint& request) const
     -> SuspicionVersion {
   const auto found = rows_.find(request);
-  return found == rows_.end() ? SuspicionVersion() : found->second.known;
+  return found == rows_.end() ? SuspicionVersion() : found->second.version;
 }
 
 auto Quarantine::BlockedFor(const Fingerprint& request, Millis now) const
@@ -71,40 +78,41 @@
   if (found == rows_.end())
     return Millis(0);
   const Row& row = found->second;
-  return std::max(Millis(0), row.at + BlockSpan(row.known.ends) - now);
+  return std::max(Millis(0),
+                  row.changed_at + BlockDuration(row.version.ends) - now);
 }
 
 auto Quarantine::OnEnded(const Fingerprint& request,
-                         SuspicionVersion stamp,
+                         SuspicionVersion sent,
                          Millis now) -> bool {
-  const uint32_t ends = std::min(stamp.ends + 1, kMostEnds);
-  const SuspicionVersion known = {stamp.cleared, ends};
-  if (known <= SuspicionVersionOf(request))
+  const uint32_t exits = std::min(sent.ends + 1, kMaxExits);
+  const SuspicionVersion version = {sent.cleared, exits};
+  if (version <= SuspicionVersionOf(request))
     return false;
-  Change(request, {known, now, /*kept=*/true}, now);
+  Change(request, {version, now, /*persisted=*/true}, now);
   return true;
 }
 
 auto Quarantine::OnWhole(const Fingerprint& request,
-                         SuspicionVersion stamp,
+                         SuspicionVersion sent,
                          Millis now) -> bool {
-  const SuspicionVersion known = SuspicionVersionOf(request);
-  if (known.ends == 0 || known.cleared != stamp.cleared)
+  const SuspicionVersion version = SuspicionVersionOf(request);
+  if (version.ends == 0 || version.cleared != sent.cleared)
     return false;
-  Change(request, {{known.cleared + 1, 0}, now}, now);
+  Change(request, {{version.cleared + 1, 0}, now}, now);
   return true;
 }
 
 auto Quarantine::Lift(WorkspaceId workspace, Millis now) -> size_t {
-  std::vector<Fingerprint> held;
-  for (auto row = rows_.lower_bound(FirstOf(workspace));
+  std::vector<Fingerprint> suspected;
+  for (auto row = rows_.lower_bound(LowestFingerprintOf(workspace));
        row != rows_.end() && row->first.workspace == workspace; ++row) {
-    if (row->second.known.ends > 0)
-      held.push_back(row->first);
+    if (row->second.version.ends > 0)
+      suspected.push_back(row->first);
   }
-  for (const Fingerprint& request : held)
+  for (const Fingerprint& request : suspected)
     OnWhole(request, SuspicionVersionOf(request), now);
-  return held.size();
+  return suspected.size();
 }
 
 void Quarantine::Change(const Fingerprint& request,
@@ -113,114 +121,117 @@
   if (!rows_.contains(request))
     MakeRoom(request.workspace);
   const bool was_blocked = BlockedFor(request, now) > Millis(0);
-  Row& known = rows_[request];
-  kept_changed_ = kept_changed_ || known.kept || row.kept;
-  known = row;
+  Row& current = rows_[request];
+  persisted_changed_ = persisted_changed_ || current.persisted || row.persisted;
+  current = row;
   recent_[request] = now;
-  told_.clear();
+  report_.clear();
   if (!was_blocked && BlockedFor(request, now) > Millis(0))
     newly_blocked_.push_back(request);
 }
 
-// The row of the fewest ends, and of these the one that changed first.
-void Quarantine::DropLeast(Rows::iterator begin, Rows::iterator end) {
+// Evicts the row with the fewest exits, and of these the one that changed
+// first.
+void Quarantine::EvictLeastSuspected(Rows::iterator begin, Rows::iterator end) {
   const auto least = std::min_element(begin, end, [](auto& a, auto& b) {
-    return std::pair(a.second.known.ends, a.second.at) <
-           std::pair(b.second.known.ends, b.second.at);
+    return std::pair(a.second.version.ends, a.second.changed_at) <
+           std::pair(b.second.version.ends, b.second.changed_at);
   });
   recent_.erase(least->first);
   rows_.erase(least);
 }
 
 void Quarantine::MakeRoom(WorkspaceId workspace) {
-  const auto begin = rows_.lower_bound(FirstOf(workspace));
+  const auto begin = rows_.lower_bound(LowestFingerprintOf(workspace));
   auto end = begin;
   size_t count = 0;
   while (end != rows_.end() && end->first.workspace == workspace) {
     ++end;
     ++count;
   }
-  if (count >= kMostOfWorkspace)
-    DropLeast(begin, end);
-  else if (rows_.size() >= kMostRows)
-    DropLeast(rows_.begin(), rows_.end());
+  if (count >= kMaxRowsPerWorkspace)
+    EvictLeastSuspected(begin, end);
+  else if (rows_.size() >= kMaxRows)
+    EvictLeastSuspected(rows_.begin(), rows_.end());
 }
 
 void Quarantine::Expire(Millis now) {
   std::erase_if(rows_, [&](const auto& row) {
-    return now - row.second.at >=
-           BlockSpan(row.second.known.ends) + kRemembered;
+    return now - row.second.changed_at >=
+           BlockDuration(row.second.version.ends) + kRetention;
   });
   std::erase_if(recent_, [&](const auto& entry) {
-    return now - entry.second >= kRecent || !rows_.contains(entry.first);
+    return now - entry.second >= kRecentWindow || !rows_.contains(entry.first);
   });
 }
 
-auto Quarantine::ToldRow(const Rows::value_type& row, Millis now) -> Suspicion {
-  const int64_t age = (now - row.second.at).count() / kSecondMs;
-  return {row.first, row.second.known.cleared, row.second.known.ends,
+auto Quarantine::ToSuspicion(const Rows::value_type& row, Millis now)
+    -> Suspicion {
+  const int64_t age = (now - row.second.changed_at).count() / kMillisPerSecond;
+  return {row.first, row.second.version.cleared, row.second.version.ends,
           static_cast<uint32_t>(std::max<int64_t>(0, age))};
 }
 
 auto Quarantine::RowsToReport(Millis now) -> const std::vector<Suspicion>& {
   if (rows_.empty()) {
-    told_.clear();
-  } else if (told_.empty() || now - told_at_ >= kToldFor) {
-    told_ = Compose(now);
-    told_at_ = now;
+    report_.clear();
+  } else if (report_.empty() || now - composed_at_ >= kReportLifetime) {
+    report_ = Compose(now);
+    composed_at_ = now;
   }
-  return told_;
+  return report_;
 }
 
 auto Quarantine::Compose(Millis now) -> std::vector<Suspicion> {
-  std::vector<Suspicion> told;
+  std::vector<Suspicion> rows;
   Expire(now);
   std::vector<std::pair<Millis, Fingerprint>> recent;
   for (const auto& [request, at] : recent_)
     recent.emplace_back(at, request);
   std::ranges::sort(recent, std::greater());
   for (const auto& [at, request] : recent) {
-    if (told.size() < kRecentPerWord)
-      told.push_back(ToldRow(*rows_.find(request), now));
+    if (rows.size() < kRecentRowsPerReport)
+      rows.push_back(ToSuspicion(*rows_.find(request), now));
   }
-  for (size_t i = 0; i < std::min(kOthersPerWord, rows_.size()); ++i) {
-    auto next = rows_.upper_bound(told_last_);
+  for (size_t i = 0; i < std::min(kOtherRowsPerReport, rows_.size()); ++i) {
+    auto next = rows_.upper_bound(last_rotated_);
     if (next == rows_.end())
       next = rows_.begin();
-    told_last_ = next->first;
-    if (!recent_.contains(told_last_))
-      told.push_back(ToldRow(*next, now));
+    last_rotated_ = next->first;
+    if (!recent_.contains(last_rotated_))
+      rows.push_back(ToSuspicion(*next, now));
   }
-  return told;
+  return rows;
 }
 
-void Quarantine::UpdateFromPeer(const std::vector<Suspicion>& told,
+void Quarantine::UpdateFromPeer(const std::vector<Suspicion>& reported,
                                 Millis now) {
-  for (const Suspicion& row : told) {
-    const SuspicionVersion known = {row.cleared, std::min(row.ends, kMostEnds)};
-    const Millis age(int64_t{row.age_s} * kSecondMs);
-    const bool over = age >= BlockSpan(known.ends) + kRemembered;
-    if (!over && known > SuspicionVersionOf(row.request))
-      Change(row.request, {known, now - age}, now);
+  for (const Suspicion& row : reported) {
+    const SuspicionVersion version = {row.cleared,
+                                      std::min(row.ends, kMaxExits)};
+    const Millis age(int64_t{row.age_s} * kMillisPerSecond);
+    const bool expired = age >= BlockDuration(version.ends) + kRetention;
+    if (!expired && version > SuspicionVersionOf(row.request))
+      Change(row.request, {version, now - age}, now);
   }
 }
 
-void Quarantine::Restore(const std::vector<Suspicion>& kept, Millis now) {
-  UpdateFromPeer(kept, now);
-  for (const Suspicion& row : kept) {
+void Quarantine::Restore(const std::vector<Suspicion>& persisted, Millis now) {
+  UpdateFromPeer(persisted, now);
+  for (const Suspicion& row : persisted) {
     const auto found = rows_.find(row.request);
     if (found != rows_.end())
-      found->second.kept = true;
+      found->second.persisted = true;
   }
 }
 
 auto Quarantine::Kept(Millis now) const -> std::vector<Suspicion> {
-  std::vector<Suspicion> kept;
+  std::vector<Suspicion> rows;
   for (const auto& row : rows_) {
-    if (row.second.kept && BlockedFor(row.first, now) > Millis(0))
-      kept.push_back(ToldRow(row, now));
+    if (row.second.persisted && BlockedFor(row.first, now) > Millis(0))
+      rows.push_back(ToSuspicion(row, now));
   }
-  return kept;
+  return rows;
 }
 
 auto Quarantine::TakeNewlyBlocked(Millis now) -> std::vector<Blocked> {
@@ -238,7 +249,7 @@
   for (const auto& [request, row] : rows_) {
     const Millis span = BlockedFor(request, now);
     if (span > Millis(0))
-      blocked.push_back({request, row.known.ends, span});
+      blocked.push_back({request, row.version.ends, span});
   }
   return blocked;
 }
--- a/sparbend/core/quarantine.h
+++ b/sparbend/core/quarantine.h
@@ -1,14 +1,17 @@
-// Requests suspected of ending the targets that run them, and whether one is
-// not to be sent for now. Any box adds what it saw; all come to the same view
-// from each other's words, in any order.
+// Requests that are suspected of crashing the targets that execute them. One
+// that is suspected strongly enough is blocked (not sent) for a while. Each box
+// records what it observes, and the boxes exchange their rows in load reports;
+// they arrive at the same state in whatever order the reports come.
 //
-//   const Stamp stamp = quarantine.SuspicionVersionOf(request);   // when it is
-//   sent quarantine.OnEnded(request, stamp, now);           // its target ended
-//   quarantine.OnWhole(request, stamp, now);           // or answered it whole
-//   if (quarantine.BlockedFor(request, now) > Millis(0)) refuse it
-//   peer.quarantine.Learn(quarantine.Told(now), now);
+//   // When an attempt is sent:
+//   const SuspicionVersion sent = quarantine.SuspicionVersionOf(request);
+//   // When its target exited, or when it was answered completely:
+//   quarantine.OnEnded(request, sent, now);
+//   quarantine.OnWhole(request, sent, now);
+//   if (quarantine.BlockedFor(request, now) > Millis(0)) ...  // refuse it
+//   peer.UpdateFromPeer(quarantine.RowsToReport(now), now);
 //
-// Pure.
+// Does no I/O and reads no clock.
 #ifndef SPARBEND_CORE_QUARANTINE_H_
 #define SPARBEND_CORE_QUARANTINE_H_
 
@@ -24,69 +27,77 @@
 
 namespace sparbend {
 
-// What was known of a request when one of its runs was sent.
+// State of the suspicion of a request. An attempt carries the version at the
+// time when it was sent. Versions are ordered by (cleared, ends).
 struct SuspicionVersion {
-  uint32_t cleared = 0;
-  uint32_t ends = 0;
+  uint32_t cleared = 0;  // times that the suspicion was cleared
+  uint32_t ends = 0;     // successive target exits counted since
 
   auto operator<=>(const SuspicionVersion&) const = default;
 };
 
 class Quarantine {
  public:
-  // Whether any request is remembered; most of the time none is.
+  // Whether there are no rows, which is the usual case.
   auto empty() const -> bool { return rows_.empty(); }
-  // Whether one of the workspace on that path is: else its body need not be
-  // looked at.
+  // Whether there is a row for the workspace and `path` (a PathDigest). If not,
+  // the request's body need not be hashed.
   auto Concerns(WorkspaceId workspace, uint32_t path) const -> bool;
 
   auto SuspicionVersionOf(const Fingerprint& request) const -> SuspicionVersion;
-  // How much longer it is not to be sent; zero: it may be.
+  // Remaining time for which `request` must not be sent; zero: it may be sent.
   auto BlockedFor(const Fingerprint& request, Millis now) const -> Millis;
 
-  // A run sent at `stamp` was at a target when that ended. True if that is
-  // news.
-  auto OnEnded(const Fingerprint& request, SuspicionVersion stamp, Millis now)
+  // An attempt sent at version `sent` was at a target when the target exited.
+  // True if that raised the version.
+  auto OnEnded(const Fingerprint& request, SuspicionVersion sent, Millis now)
       -> bool;
-  // A run sent at `stamp` was answered whole, or its target turned out to
-  // live. True if the request was suspected until now.
-  auto OnWhole(const Fingerprint& request, SuspicionVersion stamp, Millis now)
+  // Clears the suspicion: an attempt sent at version `sent` was answered
+  // completely, or its target had not exited. True if the request was suspected
+  // until now. No effect if it was cleared since the attempt was sent.
+  auto OnWhole(const Fingerprint& request, SuspicionVersion sent, Millis now)
       -> bool;
-  // An operator lets all requests of the workspace go; how many were held.
+  // Clears all suspected requests of the workspace, blocked or not, by command
+  // of an operator. Returns their number.
   auto Lift(WorkspaceId workspace, Millis now) -> size_t;
 
-  // What to tell with the next word: what changed lately, and some of the rest
-  // in turn, for boxes that have just started or were cut off. May be called
-  // for each request: composed anew 20 times a second, and after a change.
+  // Rows to send with the next load report: those that changed recently, and
+  // some of the others in rotation, for boxes that have just started or were
+  // cut off. May be called for each request: composed again at most 20 times a
+  // second, and after a change.
   auto RowsToReport(Millis now) -> const std::vector<Suspicion>&;
-  void UpdateFromPeer(const std::vector<Suspicion>& told, Millis now);
-  // Rows that this box wrote down before it started; it goes on keeping them.
-  void Restore(const std::vector<Suspicion>& kept, Millis now);
-  // What this box is to write down: the requests that are blocked since a
-  // target ended under a run of its own.
+  void UpdateFromPeer(const std::vector<Suspicion>& reported, Millis now);
+  // Merges rows that this box persisted before its restart, and continues to
+  // persist them.
+  void Restore(const std::vector<Suspicion>& persisted, Millis now);
+  // Rows that this box must persist: requests that are blocked and whose last
+  // target exit was at an attempt of this box.
   auto Kept(Millis now) const -> std::vector<Suspicion>;
-  // Whether that may differ from what it was at the last call.
-  auto TakeKeptChanged() -> bool { return std::exchange(kept_changed_, false); }
+  // Whether Kept may have changed since the last call.
+  auto TakeKeptChanged() -> bool {
+    return std::exchange(persisted_changed_, false);
+  }
 
-  // Requests that are blocked since the last call, each with for how long.
   struct Blocked {
     Fingerprint request;
-    uint32_t ends = 0;
-    Millis span;
+    uint32_t ends = 0;  // target exits counted
+    Millis span;        // remaining time of the block
 
     auto operator==(const Blocked&) const -> bool = default;
   };
+  // Requests that became blocked since the last call and still are.
   auto TakeNewlyBlocked(Millis now) -> std::vector<Blocked>;
-  // All that are blocked now.
+  // All blocked requests.
   auto ListBlocked(Millis now) const -> std::vector<Blocked>;
 
+  // Number of rows.
   auto size() const -> size_t { return rows_.size(); }
 
  private:
   struct Row {
-    SuspicionVersion known;
-    Millis at;          // of the last change, wherever it was made
-    bool kept = false;  // written down by this box
+    SuspicionVersion version;
+    Millis changed_at;       // time of the last change, on whichever box
+    bool persisted = false;  // in this box's own record
   };
   using Rows = std::map<Fingerprint, Row>;
 
@@ -94,17 +105,18 @@
   void Expire(Millis now);
   auto Compose(Millis now) -> std::vector<Suspicion>;
   void MakeRoom(WorkspaceId workspace);
-  void DropLeast(Rows::iterator begin, Rows::iterator end);
-  static auto ToldRow(const Rows::value_type& row, Millis now) -> Suspicion;
+  void EvictLeastSuspected(Rows::iterator begin, Rows::iterator end);
+  static auto ToSuspicion(const Rows::value_type& row, Millis now) -> Suspicion;
 
   Rows rows_;
-  std::map<Fingerprint, Millis> recent_;  // changed here at
+  // When this box changed or merged a row, for rows that changed recently.
+  std::map<Fingerprint, Millis> recent_;
   std::vector<Fingerprint> newly_blocked_;
-  bool kept_changed_ = false;
-  Fingerprint told_last_;
-  // What is told until a row changes, or for a moment.
-  std::vector<Suspicion> told_;
-  Millis told_at_;
+  bool persisted_changed_ = false;
+  Fingerprint last_rotated_;  // last row sent in rotation
+  // Result of RowsToReport until a row changes or kReportLifetime has passed.
+  std::vector<Suspicion> report_;
+  Millis composed_at_;
 };
 
 }  // namespace sparbend
--- a/sparbend/core/quarantine_fleet_test.cc
+++ b/sparbend/core/quarantine_fleet_test.cc
@@ -1,7 +1,8 @@
-// A fleet of pure boxes and simulated targets under requests that end their
-// targets, beside others that do not: how often such a request is sent on, and
-// whether a request that was only there when a target ended comes free. What
-// boxes tell each other is lost, cut off, or added up by halls.
+// Simulates a fleet of boxes and targets under requests that crash their
+// targets, beside harmless ones. Checks how often a crash-inducing request is
+// still sent, and that a harmless request that was at a target when it exited
+// does not stay blocked. Load reports between boxes are lost, cut off, or
+// aggregated by halls.
 #include <algorithm>
 #include <optional>
 #include <vector>
@@ -13,107 +14,110 @@
 namespace sparbend {
 namespace {
 
-constexpr Millis kStep(10);
+constexpr Millis kStepInterval(10);
 constexpr Millis kWarmUp(3'000);
-// A deadly request ends its target so long after it was sent.
-constexpr Millis kUntilEnd(100);
-constexpr Millis kRestart(2'000);
-// A box goes by what ended elsewhere within this time; kMostLate sendings
-// after it are forgiven.
-constexpr Millis kContact(3'000);
-constexpr int kMostLate = 3;
-constexpr size_t kThird = 3;
-// Innocent requests that may be taken for deadly ones.
-constexpr size_t kMostHeldOneIn = 500;
+// Time from sending a crash-inducing request until its target exits.
+constexpr Millis kTimeToExit(100);
+// Time until a target that exited accepts requests again.
+constexpr Millis kRestartTime(2'000);
+// Within this time a box has received the exits that others observed;
+// kMaxLateSends attempts that are sent later are tolerated.
+constexpr Millis kGossipSettleTime(3'000);
+constexpr int kMaxLateSends = 3;
+// The exit by which a box must know that the request is crash-inducing.
+constexpr size_t kExitsUntilKnown = 3;
+// At most one of this many harmless requests may be blocked.
+constexpr size_t kMinHarmlessPerBlocked = 500;
 constexpr WorkspaceId kWorkspace = 1;
 constexpr uint32_t kPath = 1;
-constexpr uint32_t kDeadlyBody = 1;
-constexpr uint32_t kFirstInnocentBody = 1'000;
-// An innocent request's caller comes back once.
-constexpr int kTries = 2;
+constexpr uint32_t kFirstCrashingBody = 1;
+constexpr uint32_t kFirstHarmlessBody = 1'000;
+// Attempts at a harmless request: its client retries once.
+constexpr int kAttempts = 2;
 
 struct Load {
   const char* name;
   int boxes = 9;
   int halls = 3;
   int targets = 9;
-  int64_t deadly_ms = 200;  // between two sendings of a deadly request
-  int deadly = 1;           // such requests, of different bodies
-  int innocent_each = 1;    // innocent requests begun in each step
-  Millis innocent_span{500};
+  int64_t crashing_interval_ms = 200;  // between sends of each crashing request
+  int crashing = 1;           // crash-inducing requests, with different bodies
+  int harmless_per_step = 1;  // harmless requests sent in each step
+  Millis harmless_duration{500};
   int loss_percent = 0;
-  std::optional<std::string> cut =
-      std::nullopt;  // a hall, for the first seconds
-  Millis span{20'000};
+  std::optional<std::string> cut_hall =
+      std::nullopt;  // hall that is cut off for the first kCutDuration
+  Millis duration{20'000};
 };
 
 auto RequestOf(uint32_t body) -> Fingerprint {
   return {kWorkspace, kPath, body};
 }
 
-// Plays one load step by step.
-class Play {
+// Simulates one load in steps of kStepInterval.
+class Simulation {
  public:
-  explicit Play(const Load& load)
+  explicit Simulation(const Load& load)
       : load_(load),
         nodes_(load.boxes,
                testing::EngineTargets(load.targets, 64),
                load.halls),
-        up_from_(static_cast<size_t>(load.targets)) {
+        up_at_(static_cast<size_t>(load.targets)) {
     nodes_.SetLoss(load.loss_percent);
-    nodes_.SetCut(load.cut);
+    nodes_.SetCut(load.cut_hall);
     for (Millis end = nodes_.now() + kWarmUp; nodes_.now() < end;)
-      nodes_.Step(kStep);
-    began_ = nodes_.now();
-    deadly_.resize(static_cast<size_t>(load.deadly));
+      nodes_.Step(kStepInterval);
+    started_at_ = nodes_.now();
+    crashing_.resize(static_cast<size_t>(load.crashing));
   }
 
   void Run() {
-    for (const Millis end = began_ + load_.span; nodes_.now() < end;) {
-      nodes_.Step(kStep);
-      if (nodes_.now() - began_ >= kCutFor)
+    for (const Millis end = started_at_ + load_.duration; nodes_.now() < end;) {
+      nodes_.Step(kStepInterval);
+      if (nodes_.now() - started_at_ >= kCutDuration)
         nodes_.SetCut(std::nullopt);
-      StartDeadly();
-      for (int i = 0; i < load_.innocent_each; ++i)
-        StartInnocent(next_body_++, kTries);
-      EndRuns();
+      SendCrashingRequests();
+      for (int i = 0; i < load_.harmless_per_step; ++i)
+        SendHarmlessRequest(next_body_++, kAttempts);
+      EndAttempts();
     }
   }
 
   auto nodes() -> testing::SharedNodes& { return nodes_; }
-  auto innocent() const -> int { return innocent_; }
-  // Innocent requests that a box holds back at the end.
-  auto innocent_held() -> size_t {
-    const auto held = nodes_.at(0).quarantine().ListBlocked(nodes_.now());
-    return static_cast<size_t>(std::ranges::count_if(held, [](const auto& row) {
-      return row.request.body >= kFirstInnocentBody;
-    }));
+  auto harmless() const -> int { return harmless_; }
+  // Harmless requests that a box blocks at the end.
+  auto blocked_harmless() -> size_t {
+    const auto blocked = nodes_.at(0).quarantine().ListBlocked(nodes_.now());
+    return static_cast<size_t>(
+        std::ranges::count_if(blocked, [](const auto& row) {
+          return row.request.body >= kFirstHarmlessBody;
+        }));
   }
-  // Sendings of one deadly request later than kContact after the third target
-  // ended under it.
-  auto Late(size_t deadly) const -> int {
-    const std::vector<Millis>& ends = deadly_[deadly].ends;
-    if (ends.size() < kThird)
+  // How often a crash-inducing request was sent later than kGossipSettleTime
+  // after the third target exit that it caused.
+  auto LateSends(size_t crashing) const -> int {
+    const std::vector<Millis>& exits = crashing_[crashing].exited_at;
+    if (exits.size() < kExitsUntilKnown)
       return 0;
-    const Millis from = ends[kThird - 1] + kContact;
+    const Millis from = exits[kExitsUntilKnown - 1] + kGossipSettleTime;
     return static_cast<int>(std::ranges::count_if(
-        deadly_[deadly].sent, [&](Millis sent) { return sent > from; }));
+        crashing_[crashing].sent_at, [&](Millis sent) { return sent > from; }));
   }
 
  private:
-  static constexpr Millis kCutFor{4'000};
+  static constexpr Millis kCutDuration{4'000};
 
-  struct Sent {
+  struct Attempt {
     int box = 0;
     size_t target = 0;
     Fingerprint request;
-    SuspicionVersion stamp;
-    Millis ends;
-    int tries_left = 0;
+    SuspicionVersion version;  // at the time of sending
+    Millis ends_at;
+    int attempts_left = 0;
   };
-  struct Deadly {
-    std::vector<Millis> sent;
-    std::vector<Millis> ends;
+  struct CrashingRequest {
+    std::vector<Millis> sent_at;
+    std::vector<Millis> exited_at;
   };
 
   auto Random(size_t below) -> size_t {
@@ -122,15 +126,15 @@
   }
   auto RandomTarget() -> std::optional<size_t> {
     std::vector<size_t> up;
-    for (size_t target = 0; target < up_from_.size(); ++target) {
-      if (up_from_[target] <= nodes_.now())
+    for (size_t target = 0; target < up_at_.size(); ++target) {
+      if (up_at_[target] <= nodes_.now())
         up.push_back(target);
     }
     return up.empty() ? std::nullopt : std::optional(up[Random(up.size())]);
   }
 
-  // True if a box took the request and sent it on.
-  auto Start(uint32_t body, Millis span, int tries_left) -> bool {
+  // True if a box sent the request to a target.
+  auto Send(uint32_t body, Millis span, int attempts_left) -> bool {
     const int box = static_cast<int>(Random(static_cast<size_t>(load_.boxes)));
     Quarantine& quarantine = nodes_.at(box).quarantine();
     const Fingerprint request = RequestOf(body);
@@ -139,145 +143,153 @@
         quarantine.BlockedFor(request, nodes_.now()) > Millis(0);
     if (!target || blocked)
       return false;
-    runs_.push_back({box, *target, request,
-                     quarantine.SuspicionVersionOf(request),
-                     nodes_.now() + span, tries_left});
+    attempts_.push_back({box, *target, request,
+                         quarantine.SuspicionVersionOf(request),
+                         nodes_.now() + span, attempts_left});
     return true;
   }
-  void StartDeadly() {
-    if ((nodes_.now() - began_).count() % load_.deadly_ms != 0)
+  void SendCrashingRequests() {
+    if ((nodes_.now() - started_at_).count() % load_.crashing_interval_ms != 0)
       return;
-    for (size_t i = 0; i < deadly_.size(); ++i) {
-      const uint32_t body = kDeadlyBody + static_cast<uint32_t>(i);
-      if (Start(body, kUntilEnd, 0))
-        deadly_[i].sent.push_back(nodes_.now());
+    for (size_t i = 0; i < crashing_.size(); ++i) {
+      const uint32_t body = kFirstCrashingBody + static_cast<uint32_t>(i);
+      if (Send(body, kTimeToExit, 0))
+        crashing_[i].sent_at.push_back(nodes_.now());
     }
   }
-  void StartInnocent(uint32_t body, int tries) {
-    innocent_ += tries == kTries ? 1 : 0;
-    Start(body, load_.innocent_span, tries - 1);
+  void SendHarmlessRequest(uint32_t body, int attempts_left) {
+    harmless_ += attempts_left == kAttempts ? 1 : 0;
+    Send(body, load_.harmless_duration, attempts_left - 1);
   }
 
-  void EndRuns() {
-    for (size_t i = 0; i < runs_.size();) {
-      if (runs_[i].ends > nodes_.now()) {
+  void EndAttempts() {
+    for (size_t i = 0; i < attempts_.size();) {
+      if (attempts_[i].ends_at > nodes_.now()) {
         ++i;
         continue;
       }
-      const Sent run = runs_[i];
-      runs_.erase(runs_.begin() + static_cast<int64_t>(i));
-      if (run.request.body < kFirstInnocentBody) {
-        deadly_[run.request.body - kDeadlyBody].ends.push_back(nodes_.now());
-        EndTarget(run);
+      const Attempt attempt = attempts_[i];
+      attempts_.erase(attempts_.begin() + static_cast<int64_t>(i));
+      if (attempt.request.body < kFirstHarmlessBody) {
+        crashing_[attempt.request.body - kFirstCrashingBody]
+            .exited_at.push_back(nodes_.now());
+        ExitTarget(attempt);
         i = 0;
       } else {
-        nodes_.at(run.box).quarantine().OnWhole(run.request, run.stamp,
-                                                nodes_.now());
+        nodes_.at(attempt.box)
+            .quarantine()
+            .OnWhole(attempt.request, attempt.version, nodes_.now());
       }
     }
   }
-  void EndTarget(const Sent& last) {
-    up_from_[last.target] = nodes_.now() + kRestart;
-    std::vector<Sent> broken = {last};
-    std::erase_if(runs_, [&](const Sent& run) {
-      if (run.target != last.target)
+  void ExitTarget(const Attempt& last) {
+    up_at_[last.target] = nodes_.now() + kRestartTime;
+    std::vector<Attempt> interrupted = {last};
+    std::erase_if(attempts_, [&](const Attempt& attempt) {
+      if (attempt.target != last.target)
         return false;
-      broken.push_back(run);
+      interrupted.push_back(attempt);
       return true;
     });
-    for (const Sent& run : broken)
-      nodes_.at(run.box).OnTargetExit(run.request, run.stamp, nodes_.now());
-    for (const Sent& run : broken) {
-      if (run.tries_left > 0)
-        StartInnocent(run.request.body, run.tries_left);
+    for (const Attempt& attempt : interrupted)
+      nodes_.at(attempt.box)
+          .OnTargetExit(attempt.request, attempt.version, nodes_.now());
+    for (const Attempt& attempt : interrupted) {
+      if (attempt.attempts_left > 0)
+        SendHarmlessRequest(attempt.request.body, attempt.attempts_left);
     }
   }
 
   Load load_;
   testing::SharedNodes nodes_;
-  std::vector<Millis> up_from_;
-  Millis began_;
-  std::vector<Sent> runs_;
-  std::vector<Deadly> deadly_;
-  uint32_t next_body_ = kFirstInnocentBody;
-  int innocent_ = 0;
+  std::vector<Millis> up_at_;
+  Millis started_at_;
+  std::vector<Attempt> attempts_;
+  std::vector<CrashingRequest> crashing_;
+  uint32_t next_body_ = kFirstHarmlessBody;
+  int harmless_ = 0;
   uint64_t random_ = 1;
 };
 
 TEST_GROUP(QuarantineFleet){};
 
-TEST(QuarantineFleet, SendsADeadlyRequestFewTimesAndOthersAsBefore) {
+TEST(QuarantineFleet, SendsACrashInducingRequestFewTimesAndOthersAsUsual) {
   std::vector<Load> loads;
   loads.push_back({.name = "nine boxes"});
-  loads.push_back(
-      {.name = "seldom", .deadly_ms = 2'000, .span = Millis(40'000)});
-  loads.push_back({.name = "often", .deadly_ms = 20});
-  loads.push_back({.name = "three of them", .deadly = 3});
-  loads.push_back({.name = "lost words", .loss_percent = 30});
-  loads.push_back({.name = "a hall cut off", .cut = "h1"});
+  loads.push_back({.name = "seldom",
+                   .crashing_interval_ms = 2'000,
+                   .duration = Millis(40'000)});
+  loads.push_back({.name = "often", .crashing_interval_ms = 20});
+  loads.push_back({.name = "three such requests", .crashing = 3});
+  loads.push_back({.name = "lost datagrams", .loss_percent = 30});
+  loads.push_back({.name = "a hall cut off", .cut_hall = "h1"});
   loads.push_back({.name = "a large fleet",
                    .boxes = 85,
                    .targets = 60,
-                   .deadly_ms = 100,
-                   .innocent_each = 4,
-                   .span = Millis(10'000)});
-  loads.push_back({.name = "a large fleet, lost words",
+                   .crashing_interval_ms = 100,
+                   .harmless_per_step = 4,
+                   .duration = Millis(10'000)});
+  loads.push_back({.name = "a large fleet, lost datagrams",
                    .boxes = 85,
                    .targets = 60,
-                   .deadly_ms = 100,
-                   .innocent_each = 4,
+                   .crashing_interval_ms = 100,
+                   .harmless_per_step = 4,
                    .loss_percent = 10,
-                   .span = Millis(10'000)});
+                   .duration = Millis(10'000)});
   for (const Load& load : loads) {
-    Play play(load);
-    play.Run();
-    for (int i = 0; i < load.deadly; ++i)
-      CHECK_TEXT(play.Late(static_cast<size_t>(i)) <= kMostLate, load.name);
-    CHECK_TEXT(play.innocent_held() * kMostHeldOneIn <=
-                   static_cast<size_t>(play.innocent()),
+    Simulation simulation(load);
+    simulation.Run();
+    for (int i = 0; i < load.crashing; ++i)
+      CHECK_TEXT(simulation.LateSends(static_cast<size_t>(i)) <= kMaxLateSends,
+                 load.name);
+    CHECK_TEXT(simulation.blocked_harmless() * kMinHarmlessPerBlocked <=
+                   static_cast<size_t>(simulation.harmless()),
                load.name);
   }
 }
 
-// One request is asked all the time at all boxes while targets end for other
-// reasons: some at once, as with a rack, or one after the other.
-TEST(QuarantineFleet, NeverHoldsARequestThatIsAnsweredElsewhere) {
+// One harmless request is sent continually at all boxes while targets exit for
+// other reasons: several at the same time, as when a rack fails, or one after
+// the other.
+TEST(QuarantineFleet, NeverBlocksARequestThatIsAnsweredElsewhere) {
   constexpr int kBoxes = 9;
-  const Fingerprint polled = RequestOf(kFirstInnocentBody);
+  const Fingerprint request = RequestOf(kFirstHarmlessBody);
   struct Case {
     const char* name;
-    int ends_at_once;
-    Millis pause;  // between ends
+    int simultaneous_exits;
+    Millis interval;  // between exits
   };
-  const Case cases[] = {{"a rack", 4, Millis(5'000)},
+  const Case cases[] = {{"a rack fails", 4, Millis(5'000)},
                         {"one after the other", 1, Millis(300)}};
   for (const Case& row : cases) {
     testing::SharedNodes nodes(kBoxes, testing::EngineTargets(9, 64), 3);
     for (Millis end = nodes.now() + kWarmUp; nodes.now() < end;)
-      nodes.Step(kStep);
-    const Millis began = nodes.now();
-    while (nodes.now() - began < Millis(10'000)) {
-      nodes.Step(kStep);
-      const int64_t since = (nodes.now() - began).count();
-      const int box = static_cast<int>(since / kStep.count()) % kBoxes;
+      nodes.Step(kStepInterval);
+    const Millis started_at = nodes.now();
+    while (nodes.now() - started_at < Millis(10'000)) {
+      nodes.Step(kStepInterval);
+      const int64_t elapsed_ms = (nodes.now() - started_at).count();
+      const int box =
+          static_cast<int>(elapsed_ms / kStepInterval.count()) % kBoxes;
       Quarantine& quarantine = nodes.at(box).quarantine();
-      CHECK_TEXT(quarantine.BlockedFor(polled, nodes.now()) == Millis(0),
+      CHECK_TEXT(quarantine.BlockedFor(request, nodes.now()) == Millis(0),
                  row.name);
-      quarantine.OnWhole(polled, quarantine.SuspicionVersionOf(polled),
+      quarantine.OnWhole(request, quarantine.SuspicionVersionOf(request),
                          nodes.now());
-      if (since % row.pause.count() != 0)
+      if (elapsed_ms % row.interval.count() != 0)
         continue;
-      for (int i = 0; i < row.ends_at_once; ++i) {
+      for (int i = 0; i < row.simultaneous_exits; ++i) {
         Node& node = nodes.at((box + i + 1) % kBoxes);
-        node.OnTargetExit(polled, node.quarantine().SuspicionVersionOf(polled),
+        node.OnTargetExit(request,
+                          node.quarantine().SuspicionVersionOf(request),
                           nodes.now());
       }
     }
   }
 }
 
-// Boxes that were not there when the request was blocked hear of it.
-TEST(QuarantineFleet, TellsABoxThatHasJustStarted) {
+// A box that starts after the request was blocked receives the row.
+TEST(QuarantineFleet, ReportsRowsToABoxThatHasJustStarted) {
   struct Case {
     int boxes;
     int loss_percent;
@@ -286,19 +298,19 @@
   for (const Case& row : cases) {
     testing::SharedNodes nodes(row.boxes, testing::EngineTargets(9, 64), 3);
     nodes.SetLoss(row.loss_percent);
-    const auto play = [&](Millis span) {
+    const auto advance = [&](Millis span) {
       for (const Millis end = nodes.now() + span; nodes.now() < end;)
-        nodes.Step(kStep);
+        nodes.Step(kStepInterval);
     };
-    play(kWarmUp);
-    const Fingerprint deadly = RequestOf(kDeadlyBody);
-    nodes.at(0).OnTargetExit(deadly, {0, 0}, nodes.now());
-    nodes.at(0).OnTargetExit(deadly, {0, 1}, nodes.now());
-    play(Millis(10'000));
+    advance(kWarmUp);
+    const Fingerprint crashing = RequestOf(kFirstCrashingBody);
+    nodes.at(0).OnTargetExit(crashing, {0, 0}, nodes.now());
+    nodes.at(0).OnTargetExit(crashing, {0, 1}, nodes.now());
+    advance(Millis(10'000));
     nodes.Restart(1);
-    play(kContact);
+    advance(kGossipSettleTime);
     for (int box = 0; box < row.boxes; ++box)
-      CHECK(nodes.at(box).quarantine().BlockedFor(deadly, nodes.now()) >
+      CHECK(nodes.at(box).quarantine().BlockedFor(crashing, nodes.now()) >
             Millis(0));
   }
 }
--- a/sparbend/core/quarantine_record.cc
+++ b/sparbend/core/quarantine_record.cc
@@ -5,14 +5,14 @@
 namespace sparbend {
 namespace {
 
-constexpr int64_t kSecondMs = 1'000;
-constexpr Range kAnyNumber = {0, UINT32_MAX};
+constexpr int64_t kMillisPerSecond = 1'000;
+constexpr Range kUint32Range = {0, UINT32_MAX};
 
-auto RowFrom(const Json& json, int64_t now_s) -> std::optional<Suspicion> {
+auto ParseRow(const Json& json, int64_t now_s) -> std::optional<Suspicion> {
   std::vector<Problem> problems;
   FieldReader reader(json, "quarantine", &problems);
   const auto number = [&](std::string_view name) {
-    return static_cast<uint32_t>(reader.Integer(name, kAnyNumber, 0));
+    return static_cast<uint32_t>(reader.Integer(name, kUint32Range, 0));
   };
   Suspicion row;
   row.request.workspace = number("workspace");
@@ -21,7 +21,7 @@
   row.cleared = number("cleared");
   row.ends = number("ends");
   const int64_t since_s = reader.Integer("since_s", {0, INT64_MAX}, 0);
-  // Another box's time of day may be ahead of this one's.
+  // The clock of the box that wrote the row may be ahead of this box's clock.
   row.age_s = static_cast<uint32_t>(
       std::clamp<int64_t>(now_s - since_s, 0, UINT32_MAX));
   return problems.empty() ? std::optional(row) : std::nullopt;
@@ -33,14 +33,15 @@
     -> Json {
   Json json = Json::array();
   for (const Suspicion& row : rows) {
-    if (json.size() == kMostKept)
+    if (json.size() == kMaxPersistedRows)
       break;
-    json.push_back({{"workspace", row.request.workspace},
-                    {"path", row.request.path},
-                    {"body", row.request.body},
-                    {"cleared", row.cleared},
-                    {"ends", row.ends},
-                    {"since_s", wall_now.count() / kSecondMs - row.age_s}});
+    json.push_back(
+        {{"workspace", row.request.workspace},
+         {"path", row.request.path},
+         {"body", row.request.body},
+         {"cleared", row.cleared},
+         {"ends", row.ends},
+         {"since_s", wall_now.count() / kMillisPerSecond - row.age_s}});
   }
   return json;
 }
@@ -51,8 +52,8 @@
   std::vector<Problem> problems;
   FieldReader reader(record, "box", &problems);
   for (const Json* json : reader.Objects("quarantine")) {
-    const auto row = RowFrom(*json, wall_now.count() / kSecondMs);
-    if (row && rows.size() < kMostKept)
+    const auto row = ParseRow(*json, wall_now.count() / kMillisPerSecond);
+    if (row && rows.size() < kMaxPersistedRows)
       rows.push_back(*row);
   }
   return rows;
--- a/sparbend/core/quarantine_record.h
+++ b/sparbend/core/quarantine_record.h
@@ -1,10 +1,12 @@
-// What a box keeps of the quarantine in its own record in the store, for the
-// day on which all boxes start again and none is left to tell the others.
+// The rows of the quarantine that a box persists in its own record in the
+// store, so that they survive a restart of all boxes at the same time, after
+// which no box could report them to the others.
 //
-//   record["quarantine"] = QuarantineToJson(kept, wall_now);
-//   quarantine.Learn(QuarantineFrom(record, wall_now), now);
+//   record["quarantine"] = QuarantineToJson(quarantine.Kept(now), wall_now);
+//   quarantine.Restore(QuarantineFrom(record, wall_now), now);
 //
-// Pure. Ages become times of day there, since no other clock outlasts a box.
+// Pure functions. A row's age is stored as the Unix time of its last change,
+// since only the wall clock continues over a restart of the box.
 #ifndef SPARBEND_CORE_QUARANTINE_RECORD_H_
 #define SPARBEND_CORE_QUARANTINE_RECORD_H_
 
@@ -16,13 +18,14 @@
 
 namespace sparbend {
 
-// Rows in one record at most; the first ones are written.
-inline constexpr size_t kMostKept = 64;
+// Most rows in one record. QuarantineToJson writes the first ones.
+inline constexpr size_t kMaxPersistedRows = 64;
 
-// `wall_now` is the time of day since 1970.
+// `wall_now` is the Unix time.
 auto QuarantineToJson(const std::vector<Suspicion>& rows, Millis wall_now)
     -> Json;
-// Any record is safe to pass; rows that do not decode are left out.
+// Reads the rows from a box's `record`, which may be any JSON: malformed rows
+// are skipped, as are those beyond kMaxPersistedRows.
 auto QuarantineFrom(const Json& record, Millis wall_now)
     -> std::vector<Suspicion>;
 
--- a/sparbend/core/target_restarts_test.cc
+++ b/sparbend/core/target_restarts_test.cc
@@ -1,11 +1,13 @@
-// Symptom: a target that started again under its name was not believed until it
-// had counted its signs of life past those of its old life: for up to minutes
-// boxes went by the old address, state, hall, prefixes and speed. Cause: its
-// count of signs of life starts anew, and whatever counts lower was taken for
-// late.
+// Guards against two failures of TargetTable:
 //
-// Symptom: bytes of another writer under a target's name left standing what was
-// known of that name, and a state that nobody knows was taken for leaving.
+// A target that restarted under its name was ignored, for up to minutes, until
+// its heartbeat number exceeded that of its previous incarnation; meanwhile
+// boxes used the old address, state, hall, prefixes and speed. Heartbeats
+// restart from the beginning with the process, and a lower number was taken for
+// a late record.
+//
+// A record written under a target's name by another writer left the previous
+// entry of that name in place, and an unknown state was taken for leaving.
 #include <vector>
 
 #include "sparbend/core/target_table.h"
@@ -47,132 +49,135 @@
 struct Row {
   const char* what;
   std::vector<Step> steps;
-  const char* known;  // "born/beat", with "-" for leaving; empty: nothing
+  const char* known;  // "started_at_ms/beat", then "-" if leaving; empty: none
 };
 
-auto Tell(const TargetTable& book) -> std::string {
+// The known entries, as in Row::known.
+auto Describe(const TargetTable& table) -> std::string {
   std::string text;
-  for (const auto& [name, known] : book.known())
+  for (const auto& [name, known] : table.known())
     text += std::to_string(known.entry.started_at_ms) + "/" +
             std::to_string(known.entry.beat) + (known.entry.leaving ? "-" : "");
   return text;
 }
 
-void Play(const Step& step, TargetTable* book) {
+void Apply(const Step& step, TargetTable* table) {
   switch (step.kind) {
     case Step::Kind::kPut:
-      book->Put(step.entry, step.offset, Millis(0));
+      table->Put(step.entry, step.offset, Millis(0));
       break;
     case Step::Kind::kDrop:
-      book->Drop("a", step.offset, Removal::kFinal);
+      table->Drop("a", step.offset, Removal::kFinal);
       break;
     case Step::Kind::kRefute:
-      book->Refute("a", step.offset);
+      table->Refute("a", step.offset);
       break;
   }
 }
 
 TEST_GROUP(TargetRestarts){};
 
-TEST(TargetRestarts, TheLastBirthIsBelievedInWhateverOrderWordsCome) {
+TEST(TargetRestarts, TheLatestIncarnationWinsInAnyOrderOfRecords) {
   const std::vector<Row> rows = {
-      {"a later birth counts anew",
+      {"a later incarnation restarts the heartbeats",
        {Put(1, Entry(100, 50)), Put(2, Entry(200, 1))},
        "200/1"},
       {"it is not leaving because the old one was",
        {Put(1, Entry(100, 50, true)), Put(2, Entry(200, 1))},
        "200/1"},
-      {"a late sign of the old life changes nothing",
+      {"a late heartbeat of the old incarnation has no effect",
        {Put(1, Entry(100, 50)), Put(2, Entry(200, 1)), Put(3, Entry(100, 51))},
        "200/1"},
-      {"nor does the old life's drop by a list that is behind",
+      {"nor has its drop by an outdated list",
        {Put(4, Entry(200, 1)), Drop(3)},
        "200/1"},
-      {"a birth after a drop",
+      {"a start after a drop",
        {Put(1, Entry(100, 50)), Drop(2), Put(3, Entry(200, 1))},
        "200/1"},
-      {"the old life does not come back after its successor's drop",
+      {"the old incarnation does not return after its successor's drop",
        {Put(1, Entry(100, 50)), Put(2, Entry(200, 1)), Drop(3),
         Put(4, Entry(100, 60))},
        ""},
-      {"a birth read before the drop of the old life",
+      {"a start read before the drop of the old incarnation",
        {Put(1, Entry(100, 50)), Put(3, Entry(200, 1)), Drop(2)},
        "200/1"},
   };
   for (const Row& row : rows) {
-    TargetTable book;
+    TargetTable table;
     for (const Step& step : row.steps)
-      Play(step, &book);
-    STRCMP_EQUAL_TEXT(row.known, Tell(book).c_str(), row.what);
+      Apply(step, &table);
+    STRCMP_EQUAL_TEXT(row.known, Describe(table).c_str(), row.what);
   }
 }
 
-TEST(TargetRestarts, ARecordOfNoTargetEndsWhatStoodUnderItsName) {
+TEST(TargetRestarts, ARejectedRecordRemovesTheEntryOfItsName) {
   const std::vector<Row> rows = {
-      {"at once", {Put(1, Entry(100, 5)), Refute(2)}, ""},
-      {"until the target tells of itself again",
+      {"immediately", {Put(1, Entry(100, 5)), Refute(2)}, ""},
+      {"until the target writes a record again",
        {Put(1, Entry(100, 5)), Refute(2), Put(3, Entry(100, 6))},
        "100/6"},
-      {"an older one changes nothing",
+      {"an older record has no effect",
        {Put(3, Entry(100, 5)), Refute(2)},
        "100/5"},
-      {"what was known before does not come back",
+      {"a record read before does not return",
        {Put(1, Entry(100, 5)), Refute(2), Put(1, Entry(100, 5))},
        ""},
   };
   for (const Row& row : rows) {
-    TargetTable book;
+    TargetTable table;
     for (const Step& step : row.steps)
-      Play(step, &book);
-    STRCMP_EQUAL_TEXT(row.known, Tell(book).c_str(), row.what);
+      Apply(step, &table);
+    STRCMP_EQUAL_TEXT(row.known, Describe(table).c_str(), row.what);
   }
 }
 
-// A store that is away excuses a lapse, not a record that names no target.
-TEST(TargetRestarts, ARecordOfNoTargetEndsItWhileTheStoreSettlesToo) {
-  TargetTable book;
-  book.Put(Entry(100, 5), 1, Millis(0));
-  CHECK(!book.Drop("a", 2, Removal::kDoubtful));
-  CHECK(book.Refute("a", 3));
-  STRCMP_EQUAL("", Tell(book).c_str());
+// While the store is unavailable, a removed record is uncertain and does not
+// remove its target. A record that is not a target's does remove it.
+TEST(TargetRestarts, ARejectedRecordRemovesTheEntryDuringAStoreOutage) {
+  TargetTable table;
+  table.Put(Entry(100, 5), 1, Millis(0));
+  CHECK(!table.Drop("a", 2, Removal::kDoubtful));
+  CHECK(table.Refute("a", 3));
+  STRCMP_EQUAL("", Describe(table).c_str());
 }
 
-TEST(TargetRestarts, EachLifeHasANumberOfItsOwn) {
+TEST(TargetRestarts, EachIncarnationHasItsOwnId) {
   CHECK(IdOf(Entry(100, 1)) != IdOf(Entry(200, 1)));
   CHECK(IdOf(Entry(100, 1)) == IdOf(Entry(100, 9)));
   LONGS_EQUAL(TargetIdOf("a"), IdOf(Entry(0, 1)));
 }
 
-// Lives with their signs of life, some of them written late, read in any order
-// and some of them not at all: the book ends with the last sign of the last
-// life.
-TEST(TargetRestarts, EndsWithTheLastSignOfTheLastLife) {
-  testing::CheckHolds("last life", [] {
-    const auto lives = *rc::gen::container<std::vector<int>>(
-        4, rc::gen::inRange(1, 5));  // signs of life in each
+// The heartbeats of several incarnations, some written late, are read in any
+// order, and some not at all. The table ends with the last heartbeat of the
+// last incarnation.
+TEST(TargetRestarts, EndsWithTheLastHeartbeatOfTheLastIncarnation) {
+  testing::CheckHolds("last incarnation", [] {
+    const auto heartbeats = *rc::gen::container<std::vector<int>>(
+        4, rc::gen::inRange(1, 5));  // count for each incarnation
     std::vector<std::pair<int64_t, TargetEntry>> records;
-    for (size_t life = 0; life < lives.size(); ++life) {
-      for (int beat = 1; beat <= lives[life]; ++beat) {
-        const auto late = *rc::gen::inRange(0, 3);
+    for (size_t incarnation = 0; incarnation < heartbeats.size();
+         ++incarnation) {
+      for (int beat = 1; beat <= heartbeats[incarnation]; ++beat) {
+        const auto delay = *rc::gen::inRange(0, 3);
         records.emplace_back(
-            static_cast<int64_t>(records.size()) * 10 + late * 25,
-            Entry(static_cast<int64_t>(life + 1) * 100, beat));
+            static_cast<int64_t>(records.size()) * 10 + delay * 25,
+            Entry(static_cast<int64_t>(incarnation + 1) * 100, beat));
       }
     }
     const TargetEntry last = records.back().second;
     const auto order = *rc::gen::container<std::vector<size_t>>(
         20, rc::gen::inRange<size_t>(0, records.size()));
-    TargetTable book;
+    TargetTable table;
     for (const size_t i : order)
-      book.Put(records[i].second, records[i].first, Millis(0));
+      table.Put(records[i].second, records[i].first, Millis(0));
     int64_t end = 0;
     for (const auto& [offset, entry] : records)
       end = std::max(end, offset);
-    book.Put(last, end + 1, Millis(0));
+    table.Put(last, end + 1, Millis(0));
     for (const size_t i : order)
-      book.Put(records[i].second, records[i].first, Millis(0));
-    RC_ASSERT(book.known().at("a").entry.started_at_ms == last.started_at_ms);
-    RC_ASSERT(book.known().at("a").entry.beat == last.beat);
+      table.Put(records[i].second, records[i].first, Millis(0));
+    RC_ASSERT(table.known().at("a").entry.started_at_ms == last.started_at_ms);
+    RC_ASSERT(table.known().at("a").entry.beat == last.beat);
   });
 }
 
