--- a/sparbend/core/fingerprint.h
+++ b/sparbend/core/fingerprint.h
@@ -1,7 +1,7 @@
 // Identifies a request by its contents, so that it is recognised in a client
 // retry and on another box, where it has a new id.
 //
-//   if (quarantine.Concerns(workspace, PathDigest(method, path)))
+//   if (quarantine.HasSuspicions(workspace, PathDigest(method, path)))
 //     Use(FingerprintOf(workspace, method, path, body));
 //
 // Pure functions.
--- a/sparbend/core/placement.cc
+++ b/sparbend/core/placement.cc
@@ -156,7 +156,7 @@
 auto Placement::Targets(Millis now) const -> const Candidates& {
   candidates_.Refresh({[&](TargetId target) {
                          return health_.Usable(target, now) &&
-                                !silence_.Quiet(target, now);
+                                !silence_.IsStalled(target, now);
                        },
                        [&](const PlacementTarget& target) {
                          return !cold_.MaySend(target.id, target.pool, now) ||
@@ -384,7 +384,7 @@
       continue;
     const double cost = services_.CostOf(
         {target->id, target->slots, target->hall == hall_,
-         static_cast<int>(own.running), health_.FailureShare(target->id)},
+         static_cast<int>(own.running), health_.FailureRate(target->id)},
         request.id);
     if (best && cost >= best_cost)
       continue;
@@ -432,7 +432,7 @@
 
 void Placement::OnBytes(RequestId id, Millis now) {
   const std::optional<Millis> taken = loads_.FirstByte(id, now);
-  backoff_.OnTaken(id);
+  backoff_.OnAnswerStart(id);
   const auto expected = expected_.find(id);
   if (expected == expected_.end())
     return;
@@ -443,7 +443,7 @@
   }
   model_.Observe(request.engine, request.tokens, *taken);
   request.begun = true;
-  silence_.OnBegun(request.engine.target, now);
+  silence_.OnStreamStart(request.engine.target, now);
 }
 
 void Placement::Finish(RequestId id) {
--- a/sparbend/core/quarantine.cc
+++ b/sparbend/core/quarantine.cc
@@ -60,7 +60,8 @@
 
 }  // namespace
 
-auto Quarantine::Concerns(WorkspaceId workspace, uint32_t path) const -> bool {
+auto Quarantine::HasSuspicions(WorkspaceId workspace, uint32_t path) const
+    -> bool {
   const auto found = rows_.lower_bound({workspace, path, 0});
   return found != rows_.end() && found->first.workspace == workspace &&
          found->first.path == path;
@@ -93,9 +94,9 @@
   return true;
 }
 
-auto Quarantine::OnWhole(const Fingerprint& request,
-                         SuspicionVersion sent,
-                         Millis now) -> bool {
+auto Quarantine::ClearSuspicion(const Fingerprint& request,
+                                SuspicionVersion sent,
+                                Millis now) -> bool {
   const SuspicionVersion version = SuspicionVersionOf(request);
   if (version.ends == 0 || version.cleared != sent.cleared)
     return false;
@@ -111,7 +112,7 @@
       suspected.push_back(row->first);
   }
   for (const Fingerprint& request : suspected)
-    OnWhole(request, SuspicionVersionOf(request), now);
+    ClearSuspicion(request, SuspicionVersionOf(request), now);
   return suspected.size();
 }
 
--- a/sparbend/core/quarantine.h
+++ b/sparbend/core/quarantine.h
@@ -7,7 +7,7 @@
 //   const SuspicionVersion sent = quarantine.SuspicionVersionOf(request);
 //   // When its target exited, or when it was answered completely:
 //   quarantine.OnEnded(request, sent, now);
-//   quarantine.OnWhole(request, sent, now);
+//   quarantine.ClearSuspicion(request, sent, now);
 //   if (quarantine.BlockedFor(request, now) > Millis(0)) ...  // refuse it
 //   peer.UpdateFromPeer(quarantine.RowsToReport(now), now);
 //
@@ -42,7 +42,7 @@
   auto empty() const -> bool { return rows_.empty(); }
   // Whether there is a row for the workspace and `path` (a PathDigest). If not,
   // the request's body need not be hashed.
-  auto Concerns(WorkspaceId workspace, uint32_t path) const -> bool;
+  auto HasSuspicions(WorkspaceId workspace, uint32_t path) const -> bool;
 
   auto SuspicionVersionOf(const Fingerprint& request) const -> SuspicionVersion;
   // Remaining time for which `request` must not be sent; zero: it may be sent.
@@ -55,8 +55,9 @@
   // Clears the suspicion: an attempt sent at version `sent` was answered
   // completely, or its target had not exited. True if the request was suspected
   // until now. No effect if it was cleared since the attempt was sent.
-  auto OnWhole(const Fingerprint& request, SuspicionVersion sent, Millis now)
-      -> bool;
+  auto ClearSuspicion(const Fingerprint& request,
+                      SuspicionVersion sent,
+                      Millis now) -> bool;
   // Clears all suspected requests of the workspace, blocked or not, by command
   // of an operator. Returns their number.
   auto Lift(WorkspaceId workspace, Millis now) -> size_t;
@@ -74,7 +75,7 @@
   // target exit was at an attempt of this box.
   auto Kept(Millis now) const -> std::vector<Suspicion>;
   // Whether Kept may have changed since the last call.
-  auto TakeKeptChanged() -> bool {
+  auto TakePersistedRowsChanged() -> bool {
     return std::exchange(persisted_changed_, false);
   }
 
--- a/sparbend/core/quarantine_fleet_test.cc
+++ b/sparbend/core/quarantine_fleet_test.cc
@@ -178,7 +178,7 @@
       } else {
         nodes_.at(attempt.box)
             .quarantine()
-            .OnWhole(attempt.request, attempt.version, nodes_.now());
+            .ClearSuspicion(attempt.request, attempt.version, nodes_.now());
       }
     }
   }
@@ -274,8 +274,8 @@
       Quarantine& quarantine = nodes.at(box).quarantine();
       CHECK_TEXT(quarantine.BlockedFor(request, nodes.now()) == Millis(0),
                  row.name);
-      quarantine.OnWhole(request, quarantine.SuspicionVersionOf(request),
-                         nodes.now());
+      quarantine.ClearSuspicion(request, quarantine.SuspicionVersionOf(request),
+                                nodes.now());
       if (elapsed_ms % row.interval.count() != 0)
         continue;
       for (int i = 0; i < row.simultaneous_exits; ++i) {
--- a/sparbend/core/quarantine_test.cc
+++ b/sparbend/core/quarantine_test.cc
@@ -68,7 +68,7 @@
       if (attempt.outcome == kTargetExited)
         quarantine.OnEnded(kRequest, attempt.sent, kStartTime);
       else
-        quarantine.OnWhole(kRequest, attempt.sent, kStartTime);
+        quarantine.ClearSuspicion(kRequest, attempt.sent, kStartTime);
     }
     CHECK_EQUAL_TEXT(row.blocked_ms,
                      quarantine.BlockedFor(kRequest, kStartTime).count(),
@@ -107,11 +107,11 @@
   Quarantine quarantine;
   CHECK(quarantine.empty());
   quarantine.OnEnded(kRequest, {0, 0}, kStartTime);
-  CHECK(quarantine.Concerns(1, 2));
-  CHECK_FALSE(quarantine.Concerns(1, 1));
-  CHECK_FALSE(quarantine.Concerns(1, 3));
-  CHECK_FALSE(quarantine.Concerns(0, 2));
-  CHECK_FALSE(quarantine.Concerns(2, 2));
+  CHECK(quarantine.HasSuspicions(1, 2));
+  CHECK_FALSE(quarantine.HasSuspicions(1, 1));
+  CHECK_FALSE(quarantine.HasSuspicions(1, 3));
+  CHECK_FALSE(quarantine.HasSuspicions(0, 2));
+  CHECK_FALSE(quarantine.HasSuspicions(2, 2));
 }
 
 TEST(Quarantine, WorkspaceEvictsItsOwnRowsWithTheBlockedOnesLast) {
@@ -172,8 +172,8 @@
   peer.OnEnded(kRequest, peer.SuspicionVersionOf(kRequest), kStartTime);
   box.UpdateFromPeer(peer.RowsToReport(kStartTime), kStartTime);
   CHECK(box.Kept(kStartTime).empty());
-  CHECK(peer.TakeKeptChanged());
-  CHECK_FALSE(peer.TakeKeptChanged());
+  CHECK(peer.TakePersistedRowsChanged());
+  CHECK_FALSE(peer.TakePersistedRowsChanged());
   const std::vector<Suspicion> persisted = peer.Kept(kStartTime);
   LONGS_EQUAL(1, persisted.size());
   Quarantine restarted;
@@ -181,7 +181,7 @@
   CHECK(restarted.Kept(kStartTime) == persisted);
   box.Lift(kRequest.workspace, kStartTime);
   peer.UpdateFromPeer(box.RowsToReport(kStartTime), kStartTime);
-  CHECK(peer.TakeKeptChanged());
+  CHECK(peer.TakePersistedRowsChanged());
   CHECK(peer.Kept(kStartTime).empty());
 }
 
@@ -222,7 +222,7 @@
           box.OnEnded(request, sent, kStartTime);
           break;
         case 2:
-          box.OnWhole(request, sent, kStartTime);
+          box.ClearSuspicion(request, sent, kStartTime);
           break;
         default:
           box.UpdateFromPeer(peer.RowsToReport(kStartTime), kStartTime);
--- a/sparbend/core/stream_stall_detector.cc
+++ b/sparbend/core/stream_stall_detector.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-void StreamStallDetector::OnBegun(TargetId target, Millis now) {
+void StreamStallDetector::OnStreamStart(TargetId target, Millis now) {
   State& state = states_[target];
   if (state.streams == 0)
     state.last_bytes_at = now;
@@ -48,7 +48,7 @@
     states_.erase(found);
 }
 
-auto StreamStallDetector::Quiet(TargetId target, Millis now) const -> bool {
+auto StreamStallDetector::IsStalled(TargetId target, Millis now) const -> bool {
   const auto found = states_.find(target);
   if (found == states_.end() || found->second.streams < kMinStreams)
     return false;
--- a/sparbend/core/stream_stall_detector.h
+++ b/sparbend/core/stream_stall_detector.h
@@ -3,10 +3,10 @@
 // that is dead or cut off by the network seconds before its connections break.
 // The next byte received ends the stall.
 //
-//   detector.OnBegun(target, now);   // a stream was opened
+//   detector.OnStreamStart(target, now);   // a stream was opened
 //   detector.OnBytes(target, now);
 //   detector.OnEnded(target);
-//   if (detector.Quiet(target, now)) ...   // send no new requests to it
+//   if (detector.IsStalled(target, now)) ...   // send no new requests to it
 //
 // Does no I/O and reads no clock. All calls are O(1).
 #ifndef SPARBEND_CORE_STREAM_STALL_DETECTOR_H_
@@ -23,11 +23,11 @@
  public:
   // A stream from `target` has started. Each call is followed by one of
   // OnEnded, whether or not the stream was received completely.
-  void OnBegun(TargetId target, Millis now);
+  void OnStreamStart(TargetId target, Millis now);
   void OnBytes(TargetId target, Millis now);
   void OnEnded(TargetId target);
   // Whether the streams of `target` are stalled.
-  auto Quiet(TargetId target, Millis now) const -> bool;
+  auto IsStalled(TargetId target, Millis now) const -> bool;
 
  private:
   // Of a target with open streams.
--- a/sparbend/core/stream_stall_detector_test.cc
+++ b/sparbend/core/stream_stall_detector_test.cc
@@ -30,32 +30,32 @@
     StreamStallDetector detector;
     Millis now(1'000);
     for (int i = 0; i < row.streams; ++i)
-      detector.OnBegun(kTarget, now);
+      detector.OnStreamStart(kTarget, now);
     for (int i = 0; i < 100; ++i) {
       now = now + Millis(row.gap_ms);
       detector.OnBytes(kTarget, now);
     }
     CHECK_EQUAL_TEXT(row.stalled,
-                     detector.Quiet(kTarget, now + Millis(row.idle_ms)),
+                     detector.IsStalled(kTarget, now + Millis(row.idle_ms)),
                      row.what);
   }
 }
 
 TEST(StreamStallDetector, BytesOrTheEndOfAStreamEndTheStall) {
   StreamStallDetector detector;
-  detector.OnBegun(kTarget, Millis(0));
-  detector.OnBegun(kTarget, Millis(0));
-  CHECK(detector.Quiet(kTarget, Millis(1'000)));
+  detector.OnStreamStart(kTarget, Millis(0));
+  detector.OnStreamStart(kTarget, Millis(0));
+  CHECK(detector.IsStalled(kTarget, Millis(1'000)));
   detector.OnBytes(kTarget, Millis(1'000));
-  CHECK(!detector.Quiet(kTarget, Millis(1'010)));
-  CHECK(detector.Quiet(kTarget, Millis(4'000)));
+  CHECK(!detector.IsStalled(kTarget, Millis(1'010)));
+  CHECK(detector.IsStalled(kTarget, Millis(4'000)));
   detector.OnEnded(kTarget);
-  CHECK(!detector.Quiet(kTarget, Millis(4'000)));
+  CHECK(!detector.IsStalled(kTarget, Millis(4'000)));
   detector.OnEnded(kTarget);
   detector.OnEnded(kTarget);  // without a stream, has no effect
-  detector.OnBegun(kTarget, Millis(5'000));
-  detector.OnBegun(kTarget, Millis(5'000));
-  CHECK(!detector.Quiet(kTarget, Millis(5'100)));
+  detector.OnStreamStart(kTarget, Millis(5'000));
+  detector.OnStreamStart(kTarget, Millis(5'000));
+  CHECK(!detector.IsStalled(kTarget, Millis(5'100)));
 }
 
 }  // namespace
--- a/sparbend/core/target_backoff.cc
+++ b/sparbend/core/target_backoff.cc
@@ -66,7 +66,7 @@
   unanswered_.erase(found);
 }
 
-void TargetBackoff::OnTaken(RequestId request) {
+void TargetBackoff::OnAnswerStart(RequestId request) {
   const auto found = unanswered_.find(request);
   if (found == unanswered_.end())
     return;
@@ -90,7 +90,7 @@
              : std::max(Millis(0), found->second.until - now);
 }
 
-auto TargetBackoff::TakeEnded(Millis now) -> std::vector<Ended> {
+auto TargetBackoff::TakeEndedBackoffs(Millis now) -> std::vector<Ended> {
   std::vector<Ended> ended;
   for (auto& [target, state] : states_) {
     if (state.end_taken || now < state.until)
--- a/sparbend/core/target_backoff.h
+++ b/sparbend/core/target_backoff.h
@@ -8,7 +8,7 @@
 //   if (backoff.MaySend(target, now)) {
 //     backoff.OnSent(target, request, now);
 //     ...
-//     backoff.OnTaken(request);   // its answer has started
+//     backoff.OnAnswerStart(request);   // its answer has started
 //     backoff.OnEnded(request);   // or it has ended in any way
 //   }
 //
@@ -41,7 +41,7 @@
   // A request is sent to `target`.
   void OnSent(TargetId target, RequestId request, Millis now);
   // The answer to a request has started: the target had capacity for it.
-  void OnTaken(RequestId request);
+  void OnAnswerStart(RequestId request);
   // A request has ended, whether or not its answer had started.
   void OnEnded(RequestId request);
 
@@ -63,7 +63,7 @@
   };
   // Backoffs that ended since the last call. Also drops the state of targets
   // that no longer need it.
-  auto TakeEnded(Millis now) -> std::vector<Ended>;
+  auto TakeEndedBackoffs(Millis now) -> std::vector<Ended>;
 
  private:
   struct State {
@@ -71,7 +71,7 @@
     Millis until;
     Millis last_rejected_at;
     int rejections = 0;
-    bool end_taken = false;  // by TakeEnded
+    bool end_taken = false;  // by TakeEndedBackoffs
     // After `until`:
     int max_unanswered = 1;  // limit on `unanswered`
     int unanswered = 0;      // requests sent whose answer has not started
--- a/sparbend/core/target_backoff_test.cc
+++ b/sparbend/core/target_backoff_test.cc
@@ -63,7 +63,7 @@
     LONGS_EQUAL(limit, next_id - first);
     for (RequestId request = first + 1; request < next_id; ++request)
       backoff.OnEnded(request);
-    backoff.OnTaken(first);
+    backoff.OnAnswerStart(first);
   }
   for (int i = 0; i < 100; ++i) {
     CHECK(backoff.MaySend(kTarget, now));
@@ -75,7 +75,7 @@
   TargetBackoff backoff;
   backoff.OnRetryAfter(kTarget, Millis(1'000), Millis(0));
   backoff.OnSent(kTarget, 1, Millis(2'000));
-  backoff.OnTaken(1);
+  backoff.OnAnswerStart(1);
   backoff.OnSent(kTarget, 2, Millis(2'000));
   backoff.OnRetryAfter(kTarget, Millis(1'000), Millis(2'000));
   CHECK(!backoff.MaySend(kTarget, Millis(2'999)));
@@ -90,17 +90,17 @@
   TargetBackoff backoff;
   backoff.OnRetryAfter(kTarget, Millis(1'000), Millis(100));
   backoff.OnRetryAfter(kTarget, Millis(1'000), Millis(150));
-  CHECK(backoff.TakeEnded(Millis(1'100)).empty());
+  CHECK(backoff.TakeEndedBackoffs(Millis(1'100)).empty());
   const std::vector<TargetBackoff::Ended> ended =
-      backoff.TakeEnded(Millis(1'500));
+      backoff.TakeEndedBackoffs(Millis(1'500));
   LONGS_EQUAL(1, ended.size());
   CHECK_EQUAL(kTarget, ended.front().target);
   LONGS_EQUAL(2, ended.front().refusals);
   LONGS_EQUAL(50, ended.front().last_refusal.count());
   CHECK(ended.front().asked >= Millis(1'050));
-  CHECK(backoff.TakeEnded(Millis(1'600)).empty());
+  CHECK(backoff.TakeEndedBackoffs(Millis(1'600)).empty());
   CHECK(!backoff.empty());
-  backoff.TakeEnded(Millis(60'000));
+  backoff.TakeEndedBackoffs(Millis(60'000));
   CHECK(backoff.empty());
 }
 
@@ -133,19 +133,19 @@
           break;
         case 2:
           if (!in_flight.empty()) {
-            backoff.OnTaken(*in_flight.begin());
+            backoff.OnAnswerStart(*in_flight.begin());
             backoff.OnEnded(*in_flight.begin());
             in_flight.erase(in_flight.begin());
           }
           break;
         default:
-          backoff.TakeEnded(now);
+          backoff.TakeEndedBackoffs(now);
           break;
       }
     }
     for (const RequestId request : in_flight)
       backoff.OnEnded(request);
-    backoff.TakeEnded(now + Millis(60'000));
+    backoff.TakeEndedBackoffs(now + Millis(60'000));
     CHECK(backoff.empty());
   }
 }
--- a/sparbend/core/target_health.cc
+++ b/sparbend/core/target_health.cc
@@ -83,7 +83,7 @@
   return found == states_.end() || now >= found->second.ejected_until;
 }
 
-auto TargetHealth::FailureShare(TargetId target) const -> double {
+auto TargetHealth::FailureRate(TargetId target) const -> double {
   const auto found = states_.find(target);
   return found == states_.end() ? 0 : found->second.failure_rate;
 }
--- a/sparbend/core/target_health.h
+++ b/sparbend/core/target_health.h
@@ -38,7 +38,7 @@
   // Returns the time since the first such outcome; zero if there was none.
   auto OnReachable(TargetId target, Millis now) -> Millis;
   // Exponential moving average of failed outcomes, 0 to 1.
-  auto FailureShare(TargetId target) const -> double;
+  auto FailureRate(TargetId target) const -> double;
 
  private:
   struct State {
--- a/sparbend/services/crash_watch.cc
+++ b/sparbend/services/crash_watch.cc
@@ -57,8 +57,8 @@
   Log(LogLevel::kInfo, "target-lives",
       {{"target", slot.target}, {"runs", runs.size()}});
   for (const InterruptedAttempt& run : runs)
-    scheduler_->node().quarantine().OnWhole(run.request, run.stamp,
-                                            kernel_->Now());
+    scheduler_->node().quarantine().ClearSuspicion(run.request, run.stamp,
+                                                   kernel_->Now());
 }
 
 auto CrashWatch::Look(Slot slot) -> asio::awaitable<void> {
--- a/sparbend/services/runner.cc
+++ b/sparbend/services/runner.cc
@@ -96,7 +96,7 @@
   if (exchange->fingerprint || quarantine.empty())
     return;
   const StringRequest& request = exchange->request;
-  if (quarantine.Concerns(
+  if (quarantine.HasSuspicions(
           exchange->workspace->number,
           PathDigest(request.method_string(), request.target())))
     exchange->fingerprint = FingerprintOf(*exchange);
@@ -135,7 +135,8 @@
     co_return result;
   Identify(exchange);
   if (exchange->fingerprint)
-    quarantine.OnWhole(*exchange->fingerprint, exchange->stamp, kernel_->Now());
+    quarantine.ClearSuspicion(*exchange->fingerprint, exchange->stamp,
+                              kernel_->Now());
   co_return result;
 }
 
--- a/sparbend/services/scheduler.cc
+++ b/sparbend/services/scheduler.cc
@@ -387,7 +387,7 @@
         {{"fingerprint", ToString(blocked.request)},
          {"ends", blocked.ends},
          {"for_ms", blocked.span.count()}});
-  if (quarantine.TakeKeptChanged() && on_kept_changed_)
+  if (quarantine.TakePersistedRowsChanged() && on_kept_changed_)
     on_kept_changed_();
 }
 
@@ -400,7 +400,7 @@
 // The lines show whether requests went on after a target had asked for none.
 void Scheduler::NoteBackoff(Millis now) {
   for (const TargetBackoff::Ended& ended :
-       node_.ingress_scheduler().placement().backoff().TakeEnded(now)) {
+       node_.ingress_scheduler().placement().backoff().TakeEndedBackoffs(now)) {
     const TargetEntry* entry = node_.FindTarget(ended.target);
     Log(LogLevel::kInfo, "target-backoff-ended",
         {{"target", entry == nullptr ? "" : entry->name},
