--- a/sparbend/core/placement.cc
+++ b/sparbend/core/placement.cc
@@ -166,7 +166,7 @@
 auto Placement::RefreshedCandidates(Millis now) const -> const Candidates& {
   candidates_.Refresh({[&](TargetId target) {
                          return health_.Usable(target, now) &&
-                                !stall_detector_.Quiet(target, now);
+                                !stall_detector_.IsStalled(target, now);
                        },
                        [&](const PlacementTarget& target) {
                          return !cold_targets_.MaySend(target.id, target.pool,
@@ -425,7 +425,7 @@
       continue;
     const double cost = service_choice_.CostOf(
         {target->id, target->slots, target->hall == hall_,
-         static_cast<int>(own.running), health_.FailureShare(target->id)},
+         static_cast<int>(own.running), health_.FailureRate(target->id)},
         request.id);
     if (best && cost >= best_cost)
       continue;
@@ -473,7 +473,7 @@
 
 void Placement::OnBytes(RequestId id, Millis now) {
   const std::optional<Millis> elapsed = loads_.OnFirstByte(id, now);
-  backoff_.OnTaken(id);
+  backoff_.OnAnswerStart(id);
   const auto sent = sent_estimates_.find(id);
   if (sent == sent_estimates_.end())
     return;
@@ -484,7 +484,7 @@
   }
   engine_model_.Observe(request.engine, request.tokens, *elapsed);
   request.answer_started = true;
-  stall_detector_.OnBegun(request.engine.target, now);
+  stall_detector_.OnStreamStart(request.engine.target, now);
 }
 
 void Placement::Finish(RequestId id) {
