--- a/sparbend/core/aggregate_parts.h
+++ b/sparbend/core/aggregate_parts.h
@@ -1,9 +1,10 @@
-// Cuts a sum over boxes into datagrams of a bounded size, and puts it together
-// again from them.
+// Splits an aggregate that is too long for one datagram into parts of a bounded
+// size, and reassembles the parts.
 //
-//   for (const Datagram& part : SplitAggregate(sum)) Send(part);
-//   AggregateAssembler assembly;
-//   if (const auto sum = assembly.Take(part)) Use(*sum);
+//   for (const Datagram& part : SplitAggregate(aggregate)) Send(part);
+//
+//   AggregateAssembler assembler;
+//   if (const auto aggregate = assembler.Take(part)) Use(*aggregate);
 #ifndef SPARBEND_CORE_AGGREGATE_PARTS_H_
 #define SPARBEND_CORE_AGGREGATE_PARTS_H_
 
@@ -15,24 +16,26 @@
 
 namespace sparbend {
 
-// The parts of `sum`, each within kMaxDatagramBytes; at most kMostParts, the
-// rest of what it names is left out.
-auto SplitAggregate(const Datagram& sum) -> std::vector<Datagram>;
+// The parts of `aggregate`, which may also be a load report. Each part encodes
+// to at most kMaxDatagramBytes. There are at most kMaxParts; entries that would
+// need more are dropped.
+auto SplitAggregate(const Datagram& aggregate) -> std::vector<Datagram>;
 
-// Keeps the newest unfinished sum of each kind of each sender.
+// Holds the newest incomplete aggregate for each sender and kind.
 class AggregateAssembler {
  public:
-  // The whole sum once its last part is there. Parts of older sums than the
-  // newest begun of that sender and kind are dropped, and repeated ones.
+  // Returns the complete aggregate when `part` is its last missing part.
+  // Ignores repeated parts, and parts of an aggregate that is older than the
+  // newest one seen from that sender and of that kind.
   auto Take(const Datagram& part) -> std::optional<Datagram>;
-  // `sender` started anew: its sequence begins again.
+  // Call when `sender` has restarted, since its sequence numbers start again.
   void Forget(BoxId sender);
 
  private:
   struct Unfinished {
-    Datagram sum;  // of the parts that came
-    std::vector<bool> came;
-    size_t missing = 0;
+    Datagram aggregate;          // merged from the parts received so far
+    std::vector<bool> received;  // by part number
+    size_t missing = 0;          // parts
   };
 
   static auto Begin(const Datagram& part) -> Unfinished;
--- a/sparbend/core/aggregate_parts_test.cc
+++ b/sparbend/core/aggregate_parts_test.cc
@@ -11,112 +11,117 @@
 
 TEST_GROUP(AggregateParts){};
 
-// A sum over boxes with as many entries of each kind as `entries`.
-auto AnySum(int entries) -> Datagram {
-  Datagram sum;
-  sum.kind = DatagramKind::kFleetAggregate;
-  sum.sender = *rc::gen::arbitrary<BoxId>();
-  sum.incarnation = *rc::gen::arbitrary<uint32_t>();
-  sum.sequence = *rc::gen::inRange<uint32_t>(2, UINT32_MAX);
-  sum.heartbeat = *rc::gen::arbitrary<uint32_t>();
-  sum.config_offset = *rc::gen::inRange<int64_t>(0, INT32_MAX);
-  sum.sum.boxes = *rc::gen::arbitrary<uint32_t>();
+// A random aggregate with `entries` entries in each section.
+auto AnyAggregate(int entries) -> Datagram {
+  Datagram aggregate;
+  aggregate.kind = DatagramKind::kFleetAggregate;
+  aggregate.sender = *rc::gen::arbitrary<BoxId>();
+  aggregate.incarnation = *rc::gen::arbitrary<uint32_t>();
+  aggregate.sequence = *rc::gen::inRange<uint32_t>(2, UINT32_MAX);
+  aggregate.heartbeat = *rc::gen::arbitrary<uint32_t>();
+  aggregate.config_offset = *rc::gen::inRange<int64_t>(0, INT32_MAX);
+  aggregate.aggregate_header.boxes = *rc::gen::arbitrary<uint32_t>();
   for (int i = 0; i < entries; ++i) {
     const auto any = *rc::gen::arbitrary<uint32_t>();
     const auto small = *rc::gen::inRange<uint32_t>(0, 300);
-    sum.loads.push_back({any, small, any, small});
-    sum.members.push_back({any, any, small, small > 100});
-    sum.homes.push_back({any, any});
-    sum.services.push_back({{static_cast<PoolId>(small), any}, any});
-    sum.denials.push_back({{static_cast<PoolId>(any), any}, -int64_t{small}});
-    sum.leaving_targets.push_back(any);
+    aggregate.loads.push_back({any, small, any, small});
+    aggregate.members.push_back({any, any, small, small > 100});
+    aggregate.prefix_locations.push_back({any, any});
+    aggregate.services.push_back({{static_cast<PoolId>(small), any}, any});
+    aggregate.denials.push_back(
+        {{static_cast<PoolId>(any), any}, -int64_t{small}});
+    aggregate.leaving_targets.push_back(any);
   }
-  return sum;
+  return aggregate;
 }
 
-// The sum as it was cut: its head says nothing of parts.
-auto Uncut(Datagram sum) -> Datagram {
-  sum.sum.part = 0;
-  sum.sum.parts = 1;
-  return sum;
+// `aggregate` as it was before it was split.
+auto WithoutPartNumbers(Datagram aggregate) -> Datagram {
+  aggregate.aggregate_header.part = 0;
+  aggregate.aggregate_header.parts = 1;
+  return aggregate;
 }
 
-TEST(AggregateParts, FitADatagramAndAreTheSumAgainInAnyOrder) {
-  testing::CheckHolds("assemble(shuffle(cut(s))) == s", [] {
-    const Datagram sum = AnySum(*rc::gen::inRange(0, 150));
-    std::vector<Datagram> parts = SplitAggregate(sum);
-    const size_t turn = *rc::gen::inRange<size_t>(0, parts.size());
-    std::ranges::rotate(parts, parts.begin() + static_cast<ptrdiff_t>(turn));
-    AggregateAssembler assembly;
-    std::optional<Datagram> whole;
+TEST(AggregateParts, FitIntoDatagramsAndAssembleInAnyOrder) {
+  testing::CheckHolds("assemble(rotate(split(a))) == a", [] {
+    const Datagram aggregate = AnyAggregate(*rc::gen::inRange(0, 150));
+    std::vector<Datagram> parts = SplitAggregate(aggregate);
+    const size_t rotation = *rc::gen::inRange<size_t>(0, parts.size());
+    std::ranges::rotate(parts,
+                        parts.begin() + static_cast<ptrdiff_t>(rotation));
+    AggregateAssembler assembler;
+    std::optional<Datagram> assembled;
     for (const Datagram& part : parts) {
       const std::string bytes = EncodeDatagram(part, kKey);
       RC_ASSERT(bytes.size() <= kMaxDatagramBytes);
-      RC_ASSERT(!whole);
+      RC_ASSERT(!assembled);
       const Result<Datagram> decoded = DecodeDatagram(bytes, kKey);
       RC_ASSERT(decoded.has_value());
-      whole = assembly.Take(*decoded);
-      RC_ASSERT(!assembly.Take(*decoded));  // a repeated part
+      assembled = assembler.Take(*decoded);
+      RC_ASSERT(!assembler.Take(*decoded));  // a repeated part
     }
-    RC_ASSERT(whole.has_value());
+    RC_ASSERT(assembled.has_value());
     const auto sorted = [](std::vector<TargetLoad> loads) {
       std::ranges::sort(loads, {}, &TargetLoad::target);
       return loads;
     };
-    RC_ASSERT(sorted(whole->loads) == sorted(sum.loads));
-    RC_ASSERT(whole->members.size() == sum.members.size());
-    RC_ASSERT(whole->homes.size() == sum.homes.size());
-    RC_ASSERT(whole->services.size() == sum.services.size());
-    RC_ASSERT(whole->denials.size() == sum.denials.size());
-    RC_ASSERT(whole->leaving_targets.size() == sum.leaving_targets.size());
-    if (turn == 0)
-      RC_ASSERT(Uncut(*whole) == Uncut(sum));
+    RC_ASSERT(sorted(assembled->loads) == sorted(aggregate.loads));
+    RC_ASSERT(assembled->members.size() == aggregate.members.size());
+    RC_ASSERT(assembled->prefix_locations.size() ==
+              aggregate.prefix_locations.size());
+    RC_ASSERT(assembled->services.size() == aggregate.services.size());
+    RC_ASSERT(assembled->denials.size() == aggregate.denials.size());
+    RC_ASSERT(assembled->leaving_targets.size() ==
+              aggregate.leaving_targets.size());
+    if (rotation == 0)
+      RC_ASSERT(WithoutPartNumbers(*assembled) ==
+                WithoutPartNumbers(aggregate));
   });
 }
 
-TEST(AggregateParts, AnUnfinishedSumGivesWayToTheNextAndOldPartsToIt) {
-  Datagram sum;
-  sum.kind = DatagramKind::kHallAggregate;
-  sum.sender = 7;
+TEST(AggregateParts, NewerAggregateReplacesAnIncompleteOne) {
+  Datagram aggregate;
+  aggregate.kind = DatagramKind::kHallAggregate;
+  aggregate.sender = 7;
   for (uint32_t i = 0; i < 200; ++i)
-    sum.loads.push_back({i, 1, 70'000, 70'000});
-  sum.sequence = 1;
-  const std::vector<Datagram> first = SplitAggregate(sum);
-  sum.sequence = 2;
-  const std::vector<Datagram> second = SplitAggregate(sum);
+    aggregate.loads.push_back({i, 1, 70'000, 70'000});
+  aggregate.sequence = 1;
+  const std::vector<Datagram> first = SplitAggregate(aggregate);
+  aggregate.sequence = 2;
+  const std::vector<Datagram> second = SplitAggregate(aggregate);
   CHECK(first.size() > 1);
-  AggregateAssembler assembly;
-  CHECK(!assembly.Take(first[0]));
+  AggregateAssembler assembler;
+  CHECK(!assembler.Take(first[0]));
   for (size_t i = 0; i + 1 < second.size(); ++i)
-    CHECK(!assembly.Take(second[i]));
-  // The rest of the first comes late: it is not mixed with the second.
+    CHECK(!assembler.Take(second[i]));
+  // The other parts of the first aggregate arrive late, and are ignored.
   for (size_t i = 1; i < first.size(); ++i)
-    CHECK(!assembly.Take(first[i]));
-  const std::optional<Datagram> whole = assembly.Take(second.back());
-  CHECK(whole.has_value());
-  LONGS_EQUAL(sum.loads.size(), whole->loads.size());
-  // A sender that starts anew begins its sequence again.
-  CHECK(!assembly.Take(first[0]));
-  assembly.Forget(7);
+    CHECK(!assembler.Take(first[i]));
+  const std::optional<Datagram> assembled = assembler.Take(second.back());
+  CHECK(assembled.has_value());
+  LONGS_EQUAL(aggregate.loads.size(), assembled->loads.size());
+  // The sequence numbers of a restarted sender start again.
+  CHECK(!assembler.Take(first[0]));
+  assembler.Forget(7);
   for (size_t i = 0; i + 1 < first.size(); ++i)
-    CHECK(!assembly.Take(first[i]));
-  CHECK(assembly.Take(first.back()).has_value());
+    CHECK(!assembler.Take(first[i]));
+  CHECK(assembler.Take(first.back()).has_value());
 }
 
-TEST(AggregateParts, OfOneSumThatDisagreeOnTheirNumberAreDropped) {
+TEST(AggregateParts, WithADifferentPartCountAreDropped) {
   Datagram part;
   part.kind = DatagramKind::kFleetAggregate;
   part.sender = 7;
   part.sequence = 1;
-  part.sum.parts = 2;
-  AggregateAssembler assembly;
-  CHECK(!assembly.Take(part));
-  part.sum.part = 2;
-  part.sum.parts = 3;
-  CHECK(!assembly.Take(part));
-  part.sum.part = 1;
-  part.sum.parts = 2;
-  CHECK(assembly.Take(part).has_value());
+  part.aggregate_header.parts = 2;
+  AggregateAssembler assembler;
+  CHECK(!assembler.Take(part));
+  part.aggregate_header.part = 2;
+  part.aggregate_header.parts = 3;
+  CHECK(!assembler.Take(part));
+  part.aggregate_header.part = 1;
+  part.aggregate_header.parts = 2;
+  CHECK(assembler.Take(part).has_value());
 }
 
 }  // namespace
--- a/sparbend/core/aggregators.h
+++ b/sparbend/core/aggregators.h
@@ -1,11 +1,12 @@
-// Which boxes add up for each hall, as this box sees it: by who lives, and by
-// whose sums come.
+// Selects the boxes that build the aggregates of each hall ("aggregators"), in
+// the view of this box: by which boxes are live and from which of them
+// aggregates arrive.
 //
-//   aggregators.OnSum(box, now);
-//   aggregators.Near(now)         // this hall's: told this box's words
-//   aggregators.Far(now)          // other halls': told this hall's sum
+//   aggregators.OnAggregate(box, now);
+//   aggregators.LocalAggregators(now)   // receive this box's load reports
+//   aggregators.RemoteAggregators(now)  // receive this hall's aggregate
 //
-// Pure.
+// Pure: no I/O and no clock.
 #ifndef SPARBEND_CORE_AGGREGATORS_H_
 #define SPARBEND_CORE_AGGREGATORS_H_
 
@@ -23,24 +24,30 @@
   Aggregators(std::string hall, const Members* members)
       : hall_(std::move(hall)), members_(members) {}
 
-  // A whole sum of `box` came.
-  void OnSum(BoxId box, Millis now) { sum_at_[box] = now; }
+  // Records that a complete aggregate of `box` was received.
+  void OnAggregate(BoxId box, Millis now) { last_aggregate_at_[box] = now; }
 
-  // Two boxes of this hall, this one perhaps among them; fewer if it has
+  // Two boxes of this hall, possibly including this one; fewer if the hall has
   // fewer.
-  auto Near(Millis now) -> std::vector<BoxId>;
-  // Some two boxes of each other hall.
-  auto Far(Millis now) -> std::vector<BoxId>;
+  auto LocalAggregators(Millis now) -> std::vector<BoxId>;
+  // The aggregators of all other halls: usually two of each, more while it is
+  // uncertain which boxes of a hall are live.
+  auto RemoteAggregators(Millis now) -> std::vector<BoxId>;
 
  private:
-  auto FarOf(const std::string& hall, Millis now) -> std::vector<BoxId>;
-  auto Silent(BoxId box, Millis now) const -> bool;
+  auto RemoteAggregatorsOf(const std::string& hall, Millis now)
+      -> std::vector<BoxId>;
+  // Whether `box` was selected and has sent no aggregate for too long.
+  auto TimedOut(BoxId box, Millis now) const -> bool;
 
   std::string hall_;
   const Members* members_;
-  std::map<BoxId, Millis> sum_at_;        // when the last sum came
-  std::map<BoxId, Millis> chosen_at_;     // first expected to tell sums
-  std::map<std::string, size_t> probed_;  // by hall: the next box to try
+  std::map<BoxId, Millis> last_aggregate_at_;
+  // When this box first selected each local aggregator, and so first expected
+  // aggregates from it.
+  std::map<BoxId, Millis> chosen_at_;
+  // By hall: index of the next box to probe.
+  std::map<std::string, size_t> next_probe_;
 };
 
 }  // namespace sparbend
--- a/sparbend/core/fleet_reports_test.cc
+++ b/sparbend/core/fleet_reports_test.cc
@@ -1,12 +1,15 @@
-// Symptom. 295 boxes spend half of their processor time on each other: 588
-// datagrams a second reach each, 0.8 MB/s in and out where 6 KB/s are asked.
-// Boxes of an eighth of a core fall behind their work and refuse 15,220 of
-// 71,000 tries that other boxes would have served.
+// Load reports in large fleets: traffic per box, and whether each box's view of
+// the fleet is right.
 //
-// Cause. Every box tells every other the same word each half second: what a box
-// hears and says grows with the fleet, and what all say with its square.
+// Guards against overload by control traffic: in a full mesh, where every box
+// sends its load report to every other, the traffic of a box grows with the
+// fleet and that of all boxes with its square. In a fleet of 295 boxes each
+// received 588 datagrams per second and spent half of its processor time on
+// them; small boxes were saturated and refused requests that other boxes could
+// have served.
 //
-// The oracle knows what every box has running; the boxes know it from words.
+// The oracle reads what each box has running from the box itself; the other
+// boxes know it from load reports and aggregates only.
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -24,13 +27,14 @@
 using testing::SharedNodes;
 
 constexpr int kSlots = 64;
-constexpr Millis kStep(25);
-constexpr Millis kSettled(3'000);
-// By then all have heard what was so, also where one datagram of 20 is lost.
-constexpr Millis kAllHeard(2'500);
+constexpr Millis kStepInterval(25);
+constexpr Millis kWarmUpTime(3'000);
+// Time after the last change until all boxes have received it, also where 5% of
+// the datagrams are lost.
+constexpr Millis kConvergenceTime(2'500);
 
-// A fleet that is asked for something: every box starts requests, which end
-// after a while, and the oracle adds up what all have running.
+// A fleet under load: every box starts requests and finishes its oldest ones.
+// Also the oracle for what all boxes together have running.
 class BusyFleet {
  public:
   BusyFleet(int boxes, int targets, int halls)
@@ -42,7 +46,8 @@
 
   auto nodes() -> SharedNodes& { return nodes_; }
 
-  // Each box that lives starts one request with every so many steps.
+  // Runs for `span`. Each live box starts one request every `steps_between`
+  // steps.
   void Run(Millis span, int steps_between) {
     const Millis end = nodes_.now() + span;
     while (nodes_.now() < end) {
@@ -50,13 +55,13 @@
       for (int box = 0; box < nodes_.size(); ++box) {
         const bool turn = (steps_ + box) % steps_between == 0;
         if (nodes_.alive(box) && turn)
-          Ask(box);
+          StartRequest(box);
       }
-      nodes_.Step(kStep);
+      nodes_.Step(kStepInterval);
     }
   }
 
-  // All start anew at once; what ran through them is gone.
+  // Restarts all boxes at the same time. Their running requests are lost.
   void RestartAll() {
     running_.clear();
     for (int box = 0; box < nodes_.size(); ++box) {
@@ -65,16 +70,17 @@
     }
   }
 
-  // Runs on without new requests or ends.
-  void Settle(Millis span) {
+  // Runs for `span` without starting or finishing requests.
+  void RunIdle(Millis span) {
     const Millis end = nodes_.now() + span;
     while (nodes_.now() < end)
-      nodes_.Step(kStep);
+      nodes_.Step(kStepInterval);
   }
 
-  // Largest error of `box` at any target, in requests.
-  auto ErrorOf(int box) -> int64_t {
-    int64_t most = 0;
+  // Largest error, over all targets, of the number of running requests in the
+  // view of `box`.
+  auto LoadErrorOf(int box) -> int64_t {
+    int64_t largest = 0;
     for (int i = 0; i < targets_; ++i) {
       const TargetId target = TargetIdOf("target-" + std::to_string(i));
       const auto believed = static_cast<int64_t>(nodes_.at(box)
@@ -83,18 +89,18 @@
                                                      .loads()
                                                      .Total(target)
                                                      .running);
-      most = std::max(most, std::abs(believed - TrueLoad(target)));
+      largest = std::max(largest, std::abs(believed - TrueLoad(target)));
     }
-    return most;
+    return largest;
   }
 
-  // Errors of the boxes in what the workspace was served lately, as a part of
-  // what it was.
-  struct Errors {
+  // Relative errors, over all boxes, of the recent service of the workspace in
+  // the view of a box.
+  struct RelativeErrors {
     double mean = 0;
     double worst = 0;
   };
-  auto ServiceErrors() -> Errors {
+  auto ServiceErrors() -> RelativeErrors {
     const Flow flow{PoolIdOf("engines"), 1};
     double truth = 0;
     for (int box = 0; box < nodes_.size(); ++box) {
@@ -103,7 +109,7 @@
                100, nodes_.now()))
         truth += own.flow == flow ? static_cast<double>(own.value) : 0;
     }
-    Errors errors;
+    RelativeErrors errors;
     for (int box = 0; box < nodes_.size(); ++box) {
       const auto believed = static_cast<double>(
           nodes_.at(box).ingress_scheduler().fair_parts().ServedLately(
@@ -115,11 +121,12 @@
     return errors;
   }
 
-  auto WorstError() -> int64_t {
+  // Largest LoadErrorOf any live box.
+  auto WorstLoadError() -> int64_t {
     int64_t worst = 0;
     for (int box = 0; box < nodes_.size(); ++box) {
       if (nodes_.alive(box))
-        worst = std::max(worst, ErrorOf(box));
+        worst = std::max(worst, LoadErrorOf(box));
     }
     return worst;
   }
@@ -139,8 +146,9 @@
     return sum;
   }
 
-  void Ask(int box) {
-    constexpr size_t kAtOnce = 8;
+  // Starts a request at `box`; finishes its oldest one if too many run.
+  void StartRequest(int box) {
+    constexpr size_t kMaxRunningPerBox = 8;
     QueuedRequest request;
     request.id = ++last_id_;
     request.flow = {PoolIdOf("engines"), 1};
@@ -151,7 +159,7 @@
       return;
     std::vector<RequestId>& running = running_[box];
     running.push_back(request.id);
-    if (running.size() > kAtOnce) {
+    if (running.size() > kMaxRunningPerBox) {
       node.ingress_scheduler().Finish(running.front(), 100);
       running.erase(running.begin());
     }
@@ -161,45 +169,47 @@
   int targets_;
   int steps_ = 0;
   RequestId last_id_ = 0;
-  std::map<int, std::vector<RequestId>> running_;
+  std::map<int, std::vector<RequestId>> running_;  // by box, oldest first
 };
 
 TEST_GROUP(FleetReports){};
 
-TEST(FleetReports, WhatABoxHearsAndSaysDoesNotGrowWithTheFleet) {
-  constexpr Millis kJudged(2'000);
+TEST(FleetReports, TrafficPerBoxDoesNotGrowWithTheFleet) {
+  constexpr Millis kMeasuredSpan(2'000);
   constexpr int kTargetsPerBox = 1;
   constexpr int kHalls = 5;
-  std::map<int, double> datagrams;  // of a box a second, by the fleet's size
+  // Datagrams per box and second, sent and received, by number of boxes.
+  std::map<int, double> datagrams;
   for (const int boxes : {60, 300}) {
     BusyFleet fleet(boxes, boxes * kTargetsPerBox, kHalls);
-    fleet.Run(kSettled, 10);
+    fleet.Run(kWarmUpTime, 10);
     fleet.nodes().ResetTraffic();
-    fleet.Run(kJudged, 10);
-    size_t sum = 0;
-    size_t most = 0;
+    fleet.Run(kMeasuredSpan, 10);
+    size_t total = 0;
+    size_t largest = 0;
     for (int box = 0; box < boxes; ++box) {
-      sum += fleet.nodes().traffic(box).datagrams;
-      most = std::max(most, fleet.nodes().traffic(box).datagrams);
+      total += fleet.nodes().traffic(box).datagrams;
+      largest = std::max(largest, fleet.nodes().traffic(box).datagrams);
     }
-    const double seconds = static_cast<double>(kJudged.count()) / 1'000;
-    datagrams[boxes] = static_cast<double>(sum) / boxes / seconds;
-    // Who adds up for others does the most; it still has to serve callers.
-    CHECK(static_cast<double>(most) / seconds <= 1'200);
+    const double seconds = static_cast<double>(kMeasuredSpan.count()) / 1'000;
+    datagrams[boxes] = static_cast<double>(total) / boxes / seconds;
+    // Aggregators have the most traffic, and must still serve clients.
+    CHECK(static_cast<double>(largest) / seconds <= 1'200);
   }
-  CHECK_TEXT(datagrams[300] <= 100, "datagrams a second, in and out");
-  // Sums name more targets in a larger fleet, so they come in more parts.
+  CHECK_TEXT(datagrams[300] <= 100,
+             "datagrams per box and second, sent and received");
+  // Aggregates name more targets in a larger fleet, so they have more parts.
   CHECK(datagrams[300] <= 3 * datagrams[60]);
 }
 
-TEST(FleetReports, AllKnowWhatTheFleetHasRunning) {
+TEST(FleetReports, AllBoxesKnowTheLoadOfTheFleet) {
   struct Case {
     const char* what;
     int boxes;
     int targets;
     int halls;
     int loss_percent;
-    double worst_service;  // error in what was served, while work goes on
+    double worst_service;  // largest ServiceErrors() while requests start
   };
   const Case cases[] = {
       {"few boxes", 9, 12, 3, 0, 0.1},
@@ -211,22 +221,22 @@
   for (const Case& row : cases) {
     BusyFleet fleet(row.boxes, row.targets, row.halls);
     fleet.nodes().SetLoss(row.loss_percent);
-    fleet.Run(kSettled, 4);
-    // A box that missed sums for a second believes a sixth less.
+    fleet.Run(kWarmUpTime, 4);
+    // A box that missed the aggregates of a second sees a sixth less service.
     CHECK_TEXT(fleet.ServiceErrors().mean <= 0.1, row.what);
     CHECK_TEXT(fleet.ServiceErrors().worst <= row.worst_service, row.what);
-    fleet.Settle(kAllHeard);
-    LONGS_EQUAL_TEXT(0, fleet.WorstError(), row.what);
+    fleet.RunIdle(kConvergenceTime);
+    LONGS_EQUAL_TEXT(0, fleet.WorstLoadError(), row.what);
     CHECK_TEXT(fleet.ServiceErrors().worst <= 0.1, row.what);
   }
 }
 
-// One box after the other is lost, those that add up for others among them.
-TEST(FleetReports, GoOnWhileBoxesAreLostInTurn) {
+// Kills the box with the most traffic, which is an aggregator, again and again.
+TEST(FleetReports, ContinueWhileAggregatorsAreLostInTurn) {
   constexpr int kBoxes = 60;
   constexpr int kHalls = 3;
   BusyFleet fleet(kBoxes, 40, kHalls);
-  fleet.Run(kSettled, 8);
+  fleet.Run(kWarmUpTime, 8);
   for (int lost = 0; lost < 12; ++lost) {
     int busiest = 0;
     for (int box = 0; box < kBoxes; ++box) {
@@ -244,32 +254,33 @@
               Millis(1'000));
     }
   }
-  fleet.Settle(Millis(4'500));
-  LONGS_EQUAL(0, fleet.WorstError());
+  fleet.RunIdle(Millis(4'500));
+  LONGS_EQUAL(0, fleet.WorstLoadError());
 }
 
-TEST(FleetReports, AHallCutOffIsWholeAgainWithinTwoSeconds) {
+TEST(FleetReports, AHallThatWasCutOffConvergesWithinTwoSeconds) {
   constexpr int kBoxes = 90;
   constexpr int kHalls = 3;
   BusyFleet fleet(kBoxes, 60, kHalls);
-  fleet.Run(kSettled, 6);
+  fleet.Run(kWarmUpTime, 6);
   fleet.nodes().SetCut("h1");
   fleet.Run(Millis(6'000), 6);
-  // What the other side has is forgotten; the own side is still known.
+  // By now the loads of the other side have expired, and only those of the own
+  // side are known.
   fleet.nodes().SetCut(std::nullopt);
-  fleet.Settle(Millis(2'000));
-  LONGS_EQUAL(0, fleet.WorstError());
+  fleet.RunIdle(Millis(2'000));
+  LONGS_EQUAL(0, fleet.WorstLoadError());
 }
 
-// All are killed and come back at once, with nothing that they knew.
-TEST(FleetReports, AFleetThatStartsKnowsItselfWithinASecond) {
+// All boxes restart at the same time and lose their state.
+TEST(FleetReports, ARestartedFleetConvergesWithinTwoSeconds) {
   constexpr int kBoxes = 150;
   BusyFleet fleet(kBoxes, 60, 5);
-  fleet.Run(kSettled, 8);
+  fleet.Run(kWarmUpTime, 8);
   fleet.RestartAll();
   fleet.Run(Millis(500), 4);
-  fleet.Settle(Millis(1'200));
-  LONGS_EQUAL(0, fleet.WorstError());
+  fleet.RunIdle(Millis(1'200));
+  LONGS_EQUAL(0, fleet.WorstLoadError());
 }
 
 }  // namespace
--- a/sparbend/core/hall_aggregates.cc
+++ b/sparbend/core/hall_aggregates.cc
@@ -1,9 +1,11 @@
-// A hall's sum is built from words alone and never from another sum, so nothing
-// is counted twice however sums travel; and a fleet's sum from one sum a hall.
-// Words and sums are levels: the next one makes a lost one good.
+// A hall aggregate is built from load reports only, never from another
+// aggregate, and a fleet aggregate from one aggregate per hall. So nothing is
+// counted twice, whichever way aggregates travel. Reports and aggregates state
+// current values: the next one makes up for a lost one.
 //
-// Each fleet's sum names the heartbeats of the words of its own hall, so a box
-// that hears it can take out what it told itself, and no more.
+// A fleet aggregate names the heartbeats of the load reports of its own hall
+// that it includes, so a box that receives it can subtract exactly its own
+// contribution.
 #include "sparbend/core/hall_aggregates.h"
 
 #include <algorithm>
@@ -11,147 +13,157 @@
 namespace sparbend {
 namespace {
 
-// As old as loads may be that count (LoadTable).
-constexpr Millis kTrusted = Millis(2'000);
-// A sum that counts fewer boxes than another one is believed after so long
-// without the other: two intervals of sums.
-constexpr Millis kFewerAfter = Millis(1'000);
-// A home is told on for so long, some three sums.
-constexpr Millis kHomeTold = Millis(1'200);
-// Homes in one sum, the newest: one datagram's worth. More are made only while
-// a fleet starts, when the boxes agree on homes by hash.
-constexpr size_t kMostHomes = 120;
+// Reports older than this are not aggregated; the same limit as in LoadTable.
+constexpr Millis kMaxReportAge = Millis(2'000);
+// An aggregate that covers fewer boxes than the accepted one replaces it only
+// after this time without an accepted one: about two intervals of aggregates.
+constexpr Millis kFewerBoxesDelay = Millis(1'000);
+// How long a prefix location is included in aggregates: about three of them.
+constexpr Millis kPrefixLocationRetention = Millis(1'200);
+// Prefix locations in one aggregate, newest first: as many as fit into one
+// datagram. More than that arise only while a fleet starts; then the boxes
+// agree on prefix locations by hash.
+constexpr size_t kMaxPrefixLocations = 120;
 
 template <class T>
-auto ToList(std::vector<T> first, const std::vector<T>& second)
+auto Concatenate(std::vector<T> values, const std::vector<T>& more)
     -> std::vector<T> {
-  first.insert(first.end(), second.begin(), second.end());
-  return first;
+  values.insert(values.end(), more.begin(), more.end());
+  return values;
 }
 
-auto AddValues(const std::vector<FlowValue>& one,
-               const std::vector<FlowValue>& other) -> std::vector<FlowValue> {
-  std::map<Flow, int64_t> sums;
-  for (const FlowValue& value : ToList(one, other))
-    sums[value.flow] += value.value;
+auto SumFlowValues(const std::vector<FlowValue>& left,
+                   const std::vector<FlowValue>& right)
+    -> std::vector<FlowValue> {
+  std::map<Flow, int64_t> totals;
+  for (const FlowValue& value : Concatenate(left, right))
+    totals[value.flow] += value.value;
   std::vector<FlowValue> values;
-  for (const auto& [flow, value] : sums)
+  for (const auto& [flow, value] : totals)
     values.push_back({flow, value});
   return values;
 }
 
-auto AddLoads(const std::vector<TargetLoad>& one,
-              const std::vector<TargetLoad>& other) -> std::vector<TargetLoad> {
-  std::map<TargetId, TargetLoad> sums;
-  for (const TargetLoad& row : ToList(one, other)) {
-    TargetLoad& sum = sums[row.target];
-    sum.target = row.target;
-    sum.running += row.running;
-    sum.waiting_tokens += row.waiting_tokens;
-    sum.memory_tokens += row.memory_tokens;
+auto SumLoads(const std::vector<TargetLoad>& left,
+              const std::vector<TargetLoad>& right) -> std::vector<TargetLoad> {
+  std::map<TargetId, TargetLoad> totals;
+  for (const TargetLoad& row : Concatenate(left, right)) {
+    TargetLoad& total = totals[row.target];
+    total.target = row.target;
+    total.running += row.running;
+    total.waiting_tokens += row.waiting_tokens;
+    total.memory_tokens += row.memory_tokens;
   }
   std::vector<TargetLoad> loads;
-  for (const auto& [target, load] : sums)
+  for (const auto& [target, load] : totals)
     loads.push_back(load);
   return loads;
 }
 
 }  // namespace
 
-void HallAggregates::Books::UpdateFromPeer(BoxId source,
-                                           const Datagram& datagram,
-                                           Millis now) {
+void HallAggregates::Totals::UpdateFromPeer(BoxId source,
+                                            const Datagram& datagram,
+                                            Millis now) {
   loads.UpdateFromPeer(source, datagram.loads, now);
   served.UpdateFromPeer(source, datagram.services, now);
   denied.UpdateFromPeer(source, datagram.denials, now);
 }
 
-void HallAggregates::NoteHomes(const std::vector<PrefixLocation>& homes,
-                               bool near,
-                               Millis now) {
-  for (const PrefixLocation& home : homes) {
-    if (homes_known_.insert(home).second)
-      homes_.push_back({home, now, near});
+void HallAggregates::RecordPrefixLocations(
+    const std::vector<PrefixLocation>& locations,
+    bool local,
+    Millis now) {
+  for (const PrefixLocation& location : locations) {
+    if (known_prefix_locations_.insert(location).second)
+      prefix_locations_.push_back({location, now, local});
   }
 }
 
-void HallAggregates::TakeWord(const Datagram& word, Millis now) {
-  near_.UpdateFromPeer(word.sender, word, now);
-  boxes_[word.sender] = {
-      {word.sender, word.incarnation, word.heartbeat, word.leaving}, now};
-  NoteHomes(word.homes, true, now);
+void HallAggregates::OnLoadReport(const Datagram& report, Millis now) {
+  local_.UpdateFromPeer(report.sender, report, now);
+  boxes_[report.sender] = {
+      {report.sender, report.incarnation, report.heartbeat, report.leaving},
+      now};
+  RecordPrefixLocations(report.prefix_locations, true, now);
 }
 
-void HallAggregates::TakeHallSum(const std::string& hall,
-                                 const Datagram& sum,
-                                 Millis now) {
-  NoteHomes(sum.homes, false, now);
-  FarSum& known = halls_[hall];
-  const bool better = sum.sender == known.from ||
-                      sum.sum.boxes >= known.boxes ||
-                      now - known.at >= kFewerAfter;
-  if (!better)
+void HallAggregates::OnHallAggregate(const std::string& hall,
+                                     const Datagram& aggregate,
+                                     Millis now) {
+  RecordPrefixLocations(aggregate.prefix_locations, false, now);
+  RemoteAggregate& known = remote_halls_[hall];
+  const bool accepted = aggregate.sender == known.sender ||
+                        aggregate.aggregate_header.boxes >= known.box_count ||
+                        now - known.received_at >= kFewerBoxesDelay;
+  if (!accepted)
     return;
-  known = {sum.sender, sum.sum.boxes, now};
-  far_.UpdateFromPeer(BoxIdOf(hall), sum, now);
+  known = {aggregate.sender, aggregate.aggregate_header.boxes, now};
+  remote_.UpdateFromPeer(BoxIdOf(hall), aggregate, now);
 }
 
 void HallAggregates::Expire(Millis now) {
-  near_.loads.Expire(now);
-  far_.loads.Expire(now);
+  local_.loads.Expire(now);
+  remote_.loads.Expire(now);
   std::erase_if(boxes_, [&](const auto& entry) {
-    return now - entry.second.at >= kTrusted;
+    return now - entry.second.received_at >= kMaxReportAge;
   });
-  std::erase_if(halls_, [&](const auto& entry) {
-    return now - entry.second.at >= kTrusted;
+  std::erase_if(remote_halls_, [&](const auto& entry) {
+    return now - entry.second.received_at >= kMaxReportAge;
   });
-  while (!homes_.empty() && now - homes_.front().at >= kHomeTold) {
-    homes_known_.erase(homes_.front().home);
-    homes_.pop_front();
+  while (!prefix_locations_.empty() &&
+         now - prefix_locations_.front().received_at >=
+             kPrefixLocationRetention) {
+    known_prefix_locations_.erase(prefix_locations_.front().location);
+    prefix_locations_.pop_front();
   }
 }
 
-auto HallAggregates::Members() const -> std::vector<MemberNews> {
-  std::vector<MemberNews> members;
+auto HallAggregates::IncludedBoxes() const -> std::vector<MemberUpdate> {
+  std::vector<MemberUpdate> members;
   for (const auto& [box, included] : boxes_)
-    members.push_back(included.news);
+    members.push_back(included.update);
   return members;
 }
 
-auto HallAggregates::Homes(bool near_only) const
+auto HallAggregates::RecentPrefixLocations(bool local_only) const
     -> std::vector<PrefixLocation> {
-  std::vector<PrefixLocation> homes;
-  for (auto home = homes_.rbegin();
-       home != homes_.rend() && homes.size() < kMostHomes; ++home) {
-    if (home->near || !near_only)
-      homes.push_back(home->home);
+  std::vector<PrefixLocation> locations;
+  for (auto location = prefix_locations_.rbegin();
+       location != prefix_locations_.rend() &&
+       locations.size() < kMaxPrefixLocations;
+       ++location) {
+    if (location->local || !local_only)
+      locations.push_back(location->location);
   }
-  return homes;
+  return locations;
 }
 
-auto HallAggregates::HallSum(Millis now) -> Datagram {
+auto HallAggregates::MakeHallAggregate(Millis now) -> Datagram {
   Expire(now);
-  Datagram sum;
-  sum.kind = DatagramKind::kHallAggregate;
-  sum.sum.boxes = static_cast<uint32_t>(boxes_.size());
-  sum.members = Members();
-  sum.loads = near_.loads.ToldRows();
-  sum.services = near_.served.ToldValues(now);
-  sum.denials = near_.denied.ToldValues(now);
-  sum.homes = Homes(true);
-  return sum;
+  Datagram aggregate;
+  aggregate.kind = DatagramKind::kHallAggregate;
+  aggregate.aggregate_header.boxes = static_cast<uint32_t>(boxes_.size());
+  aggregate.members = IncludedBoxes();
+  aggregate.loads = local_.loads.ToldRows();
+  aggregate.services = local_.served.ToldValues(now);
+  aggregate.denials = local_.denied.ToldValues(now);
+  aggregate.prefix_locations = RecentPrefixLocations(true);
+  return aggregate;
 }
 
-auto HallAggregates::FleetSum(Millis now) -> Datagram {
-  Datagram sum = HallSum(now);
-  sum.kind = DatagramKind::kFleetAggregate;
-  for (const auto& [hall, known] : halls_)
-    sum.sum.boxes += known.boxes;
-  sum.loads = AddLoads(sum.loads, far_.loads.ToldRows());
-  sum.services = AddValues(sum.services, far_.served.ToldValues(now));
-  sum.denials = AddValues(sum.denials, far_.denied.ToldValues(now));
-  sum.homes = Homes(false);
-  return sum;
+auto HallAggregates::MakeFleetAggregate(Millis now) -> Datagram {
+  Datagram aggregate = MakeHallAggregate(now);
+  aggregate.kind = DatagramKind::kFleetAggregate;
+  for (const auto& [hall, known] : remote_halls_)
+    aggregate.aggregate_header.boxes += known.box_count;
+  aggregate.loads = SumLoads(aggregate.loads, remote_.loads.ToldRows());
+  aggregate.services =
+      SumFlowValues(aggregate.services, remote_.served.ToldValues(now));
+  aggregate.denials =
+      SumFlowValues(aggregate.denials, remote_.denied.ToldValues(now));
+  aggregate.prefix_locations = RecentPrefixLocations(false);
+  return aggregate;
 }
 
 }  // namespace sparbend
--- a/sparbend/core/hall_aggregates.h
+++ b/sparbend/core/hall_aggregates.h
@@ -1,10 +1,13 @@
-// The books of a box that adds up for its hall: the words of the hall's boxes,
-// the other halls' sums, and what both come to.
+// State of a box that aggregates for its hall: the newest load reports of the
+// hall's boxes, the newest aggregates of the other halls, and the aggregates
+// over them.
 //
-//   sums.TakeWord(word, now); sums.TakeHallSum("hall-b", sum, now);
-//   sums.HallSum(now); sums.FleetSum(now)
+//   aggregates.OnLoadReport(report, now);
+//   aggregates.OnHallAggregate("hall-b", aggregate, now);
+//   aggregates.MakeHallAggregate(now);
+//   aggregates.MakeFleetAggregate(now);
 //
-// Pure.
+// Pure: no I/O and no clock.
 #ifndef SPARBEND_CORE_HALL_AGGREGATES_H_
 #define SPARBEND_CORE_HALL_AGGREGATES_H_
 
@@ -23,57 +26,62 @@
 
 class HallAggregates {
  public:
-  // The word of a box of this hall, this box's own included; it replaces that
-  // box's word before.
-  void TakeWord(const Datagram& word, Millis now);
-  // The sum of another hall, by one of the boxes that add up there. Of two
-  // such the one that counts more boxes is believed.
-  void TakeHallSum(const std::string& hall, const Datagram& sum, Millis now);
+  // Applies the load report of a box of this hall, which may be this box. It
+  // replaces the previous report of that box.
+  void OnLoadReport(const Datagram& report, Millis now);
+  // Applies the aggregate of another hall, sent by one of its two aggregators.
+  // Of the two, the aggregate that covers more boxes is used.
+  void OnHallAggregate(const std::string& hall,
+                       const Datagram& aggregate,
+                       Millis now);
 
-  // A datagram with the sections of a sum filled in: over the boxes of this
-  // hall whose words are fresh.
-  auto HallSum(Millis now) -> Datagram;
-  // The same over all halls whose sums are fresh. `members` and homes as in
-  // HallSum: of this hall, and of all.
-  auto FleetSum(Millis now) -> Datagram;
+  // A datagram with only the sections of an aggregate filled in, over the boxes
+  // of this hall that have a recent load report.
+  auto MakeHallAggregate(Millis now) -> Datagram;
+  // The same over all halls that have a recent aggregate. Its `members` are
+  // those of this hall only; its prefix locations are those of all halls.
+  auto MakeFleetAggregate(Millis now) -> Datagram;
 
  private:
-  // Loads, service and refusals by source: a box of the hall, or a hall.
-  struct Books {
+  // Loads, service and denials by source: a box of this hall, or another hall.
+  struct Totals {
     LoadTable loads;
     FairUsage served;
     FairUsage denied;
 
     void UpdateFromPeer(BoxId source, const Datagram& datagram, Millis now);
   };
-  struct Included {
-    MemberNews news;
-    Millis at;
+  struct IncludedBox {
+    MemberUpdate update;
+    Millis received_at;
   };
-  struct FarSum {
-    BoxId from = 0;
-    uint32_t boxes = 0;
-    Millis at;
+  // The accepted aggregate of another hall.
+  struct RemoteAggregate {
+    BoxId sender = 0;
+    uint32_t box_count = 0;
+    Millis received_at;
   };
-  struct RecentHome {
-    PrefixLocation home;
-    Millis at;
-    bool near = false;  // told by a box of this hall
+  struct RecentLocation {
+    PrefixLocation location;
+    Millis received_at;
+    bool local = false;  // reported by a box of this hall
   };
 
   void Expire(Millis now);
-  void NoteHomes(const std::vector<PrefixLocation>& homes,
-                 bool near,
-                 Millis now);
-  auto Homes(bool near_only) const -> std::vector<PrefixLocation>;
-  auto Members() const -> std::vector<MemberNews>;
+  void RecordPrefixLocations(const std::vector<PrefixLocation>& locations,
+                             bool local,
+                             Millis now);
+  auto RecentPrefixLocations(bool local_only) const
+      -> std::vector<PrefixLocation>;
+  auto IncludedBoxes() const -> std::vector<MemberUpdate>;
 
-  Books near_;
-  Books far_;
-  std::map<BoxId, Included> boxes_;
-  std::map<std::string, FarSum> halls_;
-  std::deque<RecentHome> homes_;          // the newest last
-  std::set<PrefixLocation> homes_known_;  // those of homes_
+  Totals local_;
+  Totals remote_;
+  std::map<BoxId, IncludedBox> boxes_;
+  std::map<std::string, RemoteAggregate> remote_halls_;
+  std::deque<RecentLocation> prefix_locations_;  // oldest first
+  // The locations in prefix_locations_, for lookup.
+  std::set<PrefixLocation> known_prefix_locations_;
 };
 
 }  // namespace sparbend
--- a/sparbend/core/load_report_exchange.cc
+++ b/sparbend/core/load_report_exchange.cc
@@ -1,15 +1,17 @@
-// A word states levels; the next one makes a lost one good. Two boxes add up
-// for each hall, each on its own, so one that dies or stops costs nothing: the
-// other's sums go on. Who they are follows from who lives (Members), without
-// agreement: a box that wrongly thinks it adds up counts fewer boxes, and sums
-// that count fewer are not believed while others come.
+// A load report states current values, so the next one makes up for a lost one.
+// Each hall has two aggregators that work independently: if one dies or stops,
+// the aggregates of the other continue. They are chosen by which boxes are live
+// (Members), without an agreement. A box that wrongly considers itself an
+// aggregator covers fewer boxes, and aggregates that cover fewer boxes are not
+// accepted while others arrive.
 //
-// That a box lives is told by the members named in sums, and besides by its own
-// word to one other box of the hall in turn, with news of third boxes: that
-// needs nobody in particular to live.
+// That a box is live is known from the members named in aggregates. In addition
+// each box sends its load report, without the loads but with gossip, to one
+// other box of the hall, round robin; this works whichever boxes are down.
 //
-// Invariant: in a large fleet the books of other boxes' work (Placement,
-// FairShares) have one source, the fleet's sum less this box's own part.
+// Invariant: in a large fleet, what is known of other boxes' work (Placement,
+// FairShares) has a single source: the fleet aggregate minus this box's own
+// contribution.
 #include "sparbend/core/load_report_exchange.h"
 
 #include <algorithm>
@@ -18,77 +20,85 @@
 namespace sparbend {
 namespace {
 
-// So many boxes at most tell each other directly: words are fresher than sums,
-// and each box hears some fifty a second.
-constexpr size_t kMostDirect = 24;
-// Under direct words one goes out this often for each box in the fleet, within
-// bounds: what all boxes send together then grows with their number, not with
-// its square.
-constexpr int64_t kWordMsPerBox = 12;
-constexpr int64_t kLeastWordMs = 100;
-constexpr int64_t kMostWordMs = 500;
-// Words to those who add up, and their sums. A box that adds up for seventy
-// hears 280 words a second, a fiftieth of a core; what a box knows of others is
-// a quarter of a second old in the mean, and at most kWordMs and kSumMs.
-constexpr int64_t kWordMs = 250;
-constexpr int64_t kSumMs = 400;
-// Words are so much of their interval earlier or later, in all: boxes in step
-// would all act on a view of the same age alike.
-constexpr int64_t kSpreadPercent = 50;
-constexpr size_t kUsagesPerWord = 16;
-constexpr size_t kDenialsPerWord = 16;
-// News of third boxes in a word: a hall of seventy is told within a second.
-constexpr size_t kNewsPerWord = 8;
-constexpr size_t kNewsPerWhole = 2;
-constexpr Millis kWhole = Millis(2'000);
-// Words remembered, to be taken out of sums: over two seconds' worth.
-constexpr size_t kTold = 12;
-// A sum that counts fewer boxes than the one believed is believed after so long
-// without that one; less than a tenth fewer does not matter.
-constexpr Millis kFewerAfter = Millis(1'000);
-constexpr uint32_t kFewerPercent = 90;
-// The source of the fleet's sum in the books.
-constexpr BoxId kFleet = 0;
-// Far more than the requests that a fleet can have at one target.
-constexpr uint32_t kMostRunning = 1'000'000;
+// Largest fleet with a full mesh. Direct reports are fresher than aggregates,
+// and at this size a box receives only about 50 of them per second.
+constexpr size_t kMaxFullMeshBoxes = 24;
+// In a full mesh the interval of load reports is this long per other box,
+// within the bounds below. So the traffic of all boxes together grows with
+// their number, not with its square.
+constexpr int64_t kLoadReportMsPerBox = 12;
+constexpr int64_t kMinLoadReportIntervalMs = 100;
+constexpr int64_t kMaxLoadReportIntervalMs = 500;
+// Intervals of load reports to aggregators, and of aggregates. An aggregator of
+// 70 boxes receives 280 reports per second, which takes 1/50 of a core. What a
+// box knows of others is 1/4 s old on average, and at most the sum of the two
+// intervals.
+constexpr int64_t kLoadReportIntervalMs = 250;
+constexpr int64_t kAggregateIntervalMs = 400;
+// Width of the jitter around an interval. Boxes that send in step would all act
+// in the same way on views of the same age.
+constexpr int64_t kJitterPercent = 50;
+// Flows named in a load report.
+constexpr size_t kServicesPerReport = 16;
+constexpr size_t kDenialsPerReport = 16;
+// Gossip about third boxes: per load report with aggregates, where a hall of 70
+// boxes is covered within a second, and per kGossipInterval in a full mesh.
+constexpr size_t kUpdatesPerReport = 8;
+constexpr size_t kUpdatesPerGossip = 2;
+constexpr Millis kGossipInterval = Millis(2'000);
+// Own load reports kept, to subtract them from aggregates: more than two
+// seconds of them.
+constexpr size_t kMaxSentReports = 12;
+// An aggregate that covers fewer boxes than the accepted one is accepted only
+// after this time without an accepted one. A difference of up to a tenth is
+// ignored.
+constexpr Millis kFewerBoxesDelay = Millis(1'000);
+constexpr uint32_t kMinBoxPercent = 90;
+// Stands for the fleet aggregate where a table needs the box that reported.
+constexpr BoxId kFleetSource = 0;
+// Far more requests than a fleet can have running at one target.
+constexpr uint32_t kMaxRunning = 1'000'000;
 
-auto Less(uint32_t sum, uint32_t own) -> uint32_t {
-  return sum > own ? sum - own : 0;
+auto SaturatingSubtract(uint32_t total, uint32_t own) -> uint32_t {
+  return total > own ? total - own : 0;
 }
 
-auto Without(std::vector<TargetLoad> sum, const std::vector<TargetLoad>& own)
+auto Subtract(std::vector<TargetLoad> loads, const std::vector<TargetLoad>& own)
     -> std::vector<TargetLoad> {
-  std::unordered_map<TargetId, const TargetLoad*> parts;
+  std::unordered_map<TargetId, const TargetLoad*> contributions;
   for (const TargetLoad& row : own)
-    parts[row.target] = &row;
-  for (TargetLoad& row : sum) {
-    const auto part = parts.find(row.target);
-    if (part == parts.end())
+    contributions[row.target] = &row;
+  for (TargetLoad& row : loads) {
+    const auto contribution = contributions.find(row.target);
+    if (contribution == contributions.end())
       continue;
-    row.running = Less(row.running, part->second->running);
-    row.waiting_tokens = Less(row.waiting_tokens, part->second->waiting_tokens);
-    row.memory_tokens = Less(row.memory_tokens, part->second->memory_tokens);
+    row.running =
+        SaturatingSubtract(row.running, contribution->second->running);
+    row.waiting_tokens = SaturatingSubtract(
+        row.waiting_tokens, contribution->second->waiting_tokens);
+    row.memory_tokens = SaturatingSubtract(row.memory_tokens,
+                                           contribution->second->memory_tokens);
   }
-  std::erase_if(sum, [](const TargetLoad& row) {
+  std::erase_if(loads, [](const TargetLoad& row) {
     return row.running == 0 && row.waiting_tokens == 0 &&
            row.memory_tokens == 0;
   });
-  return sum;
+  return loads;
 }
 
-// `own` was told `age` ago and has faded since.
-auto Without(std::vector<FlowValue> sum,
-             const std::vector<FlowValue>& own,
-             Millis age) -> std::vector<FlowValue> {
-  std::map<Flow, int64_t> parts;
+// `own` was sent `age` ago and has decayed since.
+auto Subtract(std::vector<FlowValue> values,
+              const std::vector<FlowValue>& own,
+              Millis age) -> std::vector<FlowValue> {
+  std::map<Flow, int64_t> contributions;
   for (const FlowValue& value : own)
-    parts[value.flow] = FairUsage::FadedAfter(value.value, age);
-  for (FlowValue& value : sum) {
-    const auto part = parts.find(value.flow);
-    if (part != parts.end())
-      value.value = std::max<int64_t>(0, value.value - part->second);
+    contributions[value.flow] = FairUsage::FadedAfter(value.value, age);
+  for (FlowValue& value : values) {
+    const auto contribution = contributions.find(value.flow);
+    if (contribution != contributions.end())
+      value.value = std::max<int64_t>(0, value.value - contribution->second);
   }
-  return sum;
+  return values;
 }
 
 using Message = LoadReportExchange::Message;
@@ -102,13 +112,13 @@
     messages->push_back({std::move(part), to});
 }
 
-auto Plausible(const Datagram& sum, size_t listed) -> bool {
-  return sum.sum.boxes <= listed &&
-         std::ranges::all_of(sum.loads,
+auto IsPlausible(const Datagram& aggregate, size_t box_count) -> bool {
+  return aggregate.aggregate_header.boxes <= box_count &&
+         std::ranges::all_of(aggregate.loads,
                              [](const TargetLoad& row) {
-                               return row.running <= kMostRunning;
+                               return row.running <= kMaxRunning;
                              }) &&
-         std::ranges::all_of(sum.services, [](const FlowValue& value) {
+         std::ranges::all_of(aggregate.services, [](const FlowValue& value) {
            return value.value >= 0;
          });
 }
@@ -118,244 +128,263 @@
 LoadReportExchange::LoadReportExchange(std::string name,
                                        std::string hall,
                                        Members* members,
-                                       IngressScheduler* entry)
+                                       IngressScheduler* ingress)
     : name_(std::move(name)),
       hall_(std::move(hall)),
       members_(members),
-      entry_(entry),
+      ingress_(ingress),
       aggregators_(hall_, members) {}
 
-auto LoadReportExchange::Summing() const -> bool {
-  return members_->list().boxes.size() > kMostDirect;
+auto LoadReportExchange::NeedsAggregates() const -> bool {
+  return members_->list().boxes.size() > kMaxFullMeshBoxes;
 }
 
-auto LoadReportExchange::SumAge(Millis now) const -> Millis {
-  return summing_ ? now - sum_taken_ : Millis(0);
+auto LoadReportExchange::AggregateAge(Millis now) const -> Millis {
+  return uses_aggregates_ ? now - aggregate_received_at_ : Millis(0);
 }
 
-auto LoadReportExchange::Lag() const -> Millis {
-  return summing_ ? Millis(kWordMs + kSumMs) : Millis(0);
+auto LoadReportExchange::ReportLag() const -> Millis {
+  return uses_aggregates_ ? Millis(kLoadReportIntervalMs + kAggregateIntervalMs)
+                          : Millis(0);
 }
 
-auto LoadReportExchange::Take(const Datagram& datagram, Millis now)
+auto LoadReportExchange::OnDatagram(const Datagram& datagram, Millis now)
     -> std::error_code {
-  const std::optional<Datagram> whole = assembly_.Take(datagram);
-  if (!whole)
+  const std::optional<Datagram> complete = assembler_.Take(datagram);
+  if (!complete)
     return {};
-  if (whole->kind != DatagramKind::kLoadReport)
-    return TakeSum(*whole, now);
-  TakeWord(*whole, now);
+  if (complete->kind != DatagramKind::kLoadReport)
+    return OnAggregate(*complete, now);
+  OnLoadReport(*complete, now);
   return {};
 }
 
-void LoadReportExchange::TakeWord(const Datagram& word, Millis now) {
-  if (!summing_) {
-    entry_->placement().UpdateFromPeer(word.sender, word.loads, word.homes,
-                                       now);
-    entry_->fair_parts().UpdateFromPeer(word.sender, word.services,
-                                        word.denials, now);
+void LoadReportExchange::OnLoadReport(const Datagram& report, Millis now) {
+  if (!uses_aggregates_) {
+    ingress_->placement().UpdateFromPeer(report.sender, report.loads,
+                                         report.prefix_locations, now);
+    ingress_->fair_parts().UpdateFromPeer(report.sender, report.services,
+                                          report.denials, now);
     return;
   }
-  const BoxEntry* sender = members_->Find(word.sender);
+  const BoxEntry* sender = members_->Find(report.sender);
   if (aggregating_ && sender != nullptr && sender->hall == hall_)
-    sums_.TakeWord(word, now);
+    hall_aggregates_.OnLoadReport(report, now);
 }
 
-auto LoadReportExchange::TakeSum(const Datagram& sum, Millis now)
+auto LoadReportExchange::OnAggregate(const Datagram& aggregate, Millis now)
     -> std::error_code {
-  const BoxEntry* sender = members_->Find(sum.sender);
-  if (sender == nullptr || !summing_)
+  const BoxEntry* sender = members_->Find(aggregate.sender);
+  if (sender == nullptr || !uses_aggregates_)
     return Errc::kRefused;
-  const bool near = sender->hall == hall_;
-  if ((sum.kind == DatagramKind::kFleetAggregate) != near)
+  const bool local = sender->hall == hall_;
+  if ((aggregate.kind == DatagramKind::kFleetAggregate) != local)
     return Errc::kRefused;
-  if (!Plausible(sum, members_->list().boxes.size()))
+  if (!IsPlausible(aggregate, members_->list().boxes.size()))
     return Errc::kInvalid;
-  aggregators_.OnSum(sum.sender, now);
-  for (const MemberNews& news : sum.members)
-    members_->OnMemberNews(news, now);
-  if (near)
-    TakeFleetSum(sum, now);
+  aggregators_.OnAggregate(aggregate.sender, now);
+  for (const MemberUpdate& update : aggregate.members)
+    members_->OnMemberNews(update, now);
+  if (local)
+    OnFleetAggregate(aggregate, now);
   else if (aggregating_)
-    sums_.TakeHallSum(sender->hall, sum, now);
+    hall_aggregates_.OnHallAggregate(sender->hall, aggregate, now);
   return {};
 }
 
-// The word of this box that is in `sum`; nothing if none is.
-auto LoadReportExchange::EchoOf(const Datagram& sum) const -> const Told* {
-  const auto own =
-      std::ranges::find(sum.members, members_->self(), &MemberNews::box);
-  if (own == sum.members.end() || own->incarnation != members_->incarnation())
+// This box's load report that is included in `aggregate`; null if there is
+// none, or if it is no longer kept.
+auto LoadReportExchange::OwnContribution(const Datagram& aggregate) const
+    -> const SentReport* {
+  const auto own = std::ranges::find(aggregate.members, members_->self(),
+                                     &MemberUpdate::box);
+  if (own == aggregate.members.end() ||
+      own->incarnation != members_->incarnation())
     return nullptr;
-  const auto told = std::ranges::find(told_, own->heartbeat, &Told::heartbeat);
-  return told == told_.end() ? nullptr : &*told;
+  const auto sent =
+      std::ranges::find(sent_reports_, own->heartbeat, &SentReport::heartbeat);
+  return sent == sent_reports_.end() ? nullptr : &*sent;
 }
 
-void LoadReportExchange::TakeFleetSum(const Datagram& sum, Millis now) {
-  const bool believed = sum.sender == sum_from_ ||
-                        sum.sum.boxes * 100 >= sum_boxes_ * kFewerPercent ||
-                        now - sum_taken_ >= kFewerAfter;
-  if (!believed)
+void LoadReportExchange::OnFleetAggregate(const Datagram& aggregate,
+                                          Millis now) {
+  const bool accepted = aggregate.sender == aggregate_sender_ ||
+                        aggregate.aggregate_header.boxes * 100 >=
+                            aggregate_box_count_ * kMinBoxPercent ||
+                        now - aggregate_received_at_ >= kFewerBoxesDelay;
+  if (!accepted)
     return;
-  sum_from_ = sum.sender;
-  sum_boxes_ = sum.sum.boxes;
-  sum_taken_ = now;
-  boxes_ = std::max<size_t>(1, sum.sum.boxes);
-  entry_->SetBoxCount(static_cast<int>(boxes_));
-  static const Told nothing;
-  const Told* echo = EchoOf(sum);
-  const Told& own = echo == nullptr ? nothing : *echo;
-  entry_->placement().UpdateFromPeer(kFleet, Without(sum.loads, own.loads),
-                                     sum.homes, now);
-  entry_->fair_parts().UpdateFromPeer(
-      kFleet, Without(sum.services, own.served, now - own.at),
-      Without(sum.denials, own.denied, now - own.at), now);
+  aggregate_sender_ = aggregate.sender;
+  aggregate_box_count_ = aggregate.aggregate_header.boxes;
+  aggregate_received_at_ = now;
+  box_count_ = std::max<size_t>(1, aggregate.aggregate_header.boxes);
+  ingress_->SetBoxCount(static_cast<int>(box_count_));
+  static const SentReport no_contribution;
+  const SentReport* found = OwnContribution(aggregate);
+  const SentReport& own = found == nullptr ? no_contribution : *found;
+  ingress_->placement().UpdateFromPeer(kFleetSource,
+                                       Subtract(aggregate.loads, own.loads),
+                                       aggregate.prefix_locations, now);
+  ingress_->fair_parts().UpdateFromPeer(
+      kFleetSource, Subtract(aggregate.services, own.served, now - own.sent_at),
+      Subtract(aggregate.denials, own.denied, now - own.sent_at), now);
 }
 
-void LoadReportExchange::SetMode(Millis now) {
-  if (Summing() != summing_) {
-    summing_ = !summing_;
-    entry_->placement().ClearPeerReports();
-    entry_->fair_parts().ClearPeerReports();
-    sum_taken_ = now;
-    sum_boxes_ = 0;
+void LoadReportExchange::UpdateMode(Millis now) {
+  if (NeedsAggregates() != uses_aggregates_) {
+    uses_aggregates_ = !uses_aggregates_;
+    ingress_->placement().ClearPeerReports();
+    ingress_->fair_parts().ClearPeerReports();
+    aggregate_received_at_ = now;
+    aggregate_box_count_ = 0;
   }
-  if (!summing_) {
+  if (!uses_aggregates_) {
     aggregating_ = false;
     return;
   }
-  near_ = aggregators_.Near(now);
-  aggregating_ = std::erase(near_, members_->self()) > 0;
+  local_aggregators_ = aggregators_.LocalAggregators(now);
+  aggregating_ = std::erase(local_aggregators_, members_->self()) > 0;
 }
 
-auto LoadReportExchange::WordInterval() const -> int64_t {
-  if (summing_)
-    return kWordMs;
+auto LoadReportExchange::LoadReportIntervalMs() const -> int64_t {
+  if (uses_aggregates_)
+    return kLoadReportIntervalMs;
   const auto peers = static_cast<int64_t>(members_->list().boxes.size()) - 1;
-  return std::clamp(peers * kWordMsPerBox, kLeastWordMs, kMostWordMs);
+  return std::clamp(peers * kLoadReportMsPerBox, kMinLoadReportIntervalMs,
+                    kMaxLoadReportIntervalMs);
 }
 
-// News that all boxes tell on at once leaves their words in step; then what
-// each believes of targets and flows is a whole interval old for all together,
-// and all act on it alike. Words of uneven spacing come apart again.
-auto LoadReportExchange::Spread(int64_t interval, uint32_t turn) const
-    -> Millis {
-  const int64_t spread = interval * kSpreadPercent / 100;
-  const uint64_t chance = StableHash(name_ + "/" + std::to_string(turn));
-  return Millis(interval - spread / 2 +
-                static_cast<int64_t>(chance % static_cast<uint64_t>(spread)));
+// A change that makes all boxes send at once leaves their load reports in step.
+// Then the views of all boxes reach the age of a full interval at the same
+// time, and all act on them in the same way. Uneven spacing takes them out of
+// step again.
+auto LoadReportExchange::JitteredInterval(int64_t interval_ms,
+                                          uint32_t count) const -> Millis {
+  const int64_t jitter_ms = interval_ms * kJitterPercent / 100;
+  const uint64_t hash = StableHash(name_ + "/" + std::to_string(count));
+  return Millis(interval_ms - jitter_ms / 2 +
+                static_cast<int64_t>(hash % static_cast<uint64_t>(jitter_ms)));
 }
 
-auto LoadReportExchange::WordDue(Millis now) const -> bool {
-  return now - word_at_ >= Spread(WordInterval(), words_);
+auto LoadReportExchange::LoadReportDue(Millis now) const -> bool {
+  return now - load_report_sent_at_ >=
+         JitteredInterval(LoadReportIntervalMs(), load_reports_sent_);
 }
 
-auto LoadReportExchange::OwnWord(const Datagram& head, Millis now) -> Datagram {
-  Datagram word = head;
-  word.heartbeat = ++words_;
-  word.sequence = ++sequence_;
-  word.loads = entry_->placement().loads().OwnRows();
-  word.homes = entry_->placement().homes().Recent(now);
-  word.services = entry_->fair_parts().OwnServed(kUsagesPerWord, now);
-  word.denials = entry_->fair_parts().OwnDenied(kDenialsPerWord, now);
-  if (summing_) {
-    word.members = members_->NextNews(kNewsPerWord);
-  } else if (now - whole_at_ >= kWhole) {
-    word.members = members_->NextNews(kNewsPerWhole);
-    whole_at_ = now;
+auto LoadReportExchange::MakeLoadReport(const Datagram& header, Millis now)
+    -> Datagram {
+  Datagram report = header;
+  report.heartbeat = ++load_reports_sent_;
+  report.sequence = ++sequence_;
+  report.loads = ingress_->placement().loads().OwnRows();
+  report.prefix_locations = ingress_->placement().homes().Recent(now);
+  report.services = ingress_->fair_parts().OwnServed(kServicesPerReport, now);
+  report.denials = ingress_->fair_parts().OwnDenied(kDenialsPerReport, now);
+  if (uses_aggregates_) {
+    report.members = members_->NextUpdates(kUpdatesPerReport);
+  } else if (now - gossip_sent_at_ >= kGossipInterval) {
+    report.members = members_->NextUpdates(kUpdatesPerGossip);
+    gossip_sent_at_ = now;
   }
-  told_.push_back(
-      {word.heartbeat, word.loads, word.services, word.denials, now});
-  if (told_.size() > kTold)
-    told_.pop_front();
-  return word;
+  sent_reports_.push_back(
+      {report.heartbeat, report.loads, report.services, report.denials, now});
+  if (sent_reports_.size() > kMaxSentReports)
+    sent_reports_.pop_front();
+  return report;
 }
 
-// For those who do not add up for this box: what its head says is all they use.
-auto LoadReportExchange::News(const Datagram& word) -> Datagram {
-  Datagram news = word;
-  news.loads.clear();
-  news.homes.clear();
-  news.services.clear();
-  news.denials.clear();
-  return news;
+// `report` as sent to boxes that are not aggregators of this box: they use only
+// its header and gossip.
+auto LoadReportExchange::WithoutLoad(const Datagram& report) -> Datagram {
+  Datagram stripped = report;
+  stripped.loads.clear();
+  stripped.prefix_locations.clear();
+  stripped.services.clear();
+  stripped.denials.clear();
+  return stripped;
 }
 
-auto LoadReportExchange::Sample() -> std::vector<BoxId> {
-  const std::vector<BoxId>& boxes = members_->BoxesOf(hall_);
+auto LoadReportExchange::NextGossipPeer() -> std::vector<BoxId> {
+  const std::vector<BoxId>& boxes = members_->OtherBoxesOf(hall_);
   if (boxes.empty())
     return {};
-  if (sampled_ == 0)  // boxes begin at different places
-    sampled_ = StableHash(name_) % boxes.size();
-  return {boxes[++sampled_ % boxes.size()]};
+  if (next_gossip_peer_ == 0)  // each box starts at a different place
+    next_gossip_peer_ = StableHash(name_) % boxes.size();
+  return {boxes[++next_gossip_peer_ % boxes.size()]};
 }
 
-void LoadReportExchange::TellWord(const Datagram& head,
-                                  Urgency urgency,
-                                  Millis now,
-                                  std::vector<Message>* messages) {
-  word_at_ = now;
-  const Datagram word = OwnWord(head, now);
-  std::vector<BoxId> all;
+void LoadReportExchange::SendLoadReport(const Datagram& header,
+                                        ImmediateSend scope,
+                                        Millis now,
+                                        std::vector<Message>* messages) {
+  load_report_sent_at_ = now;
+  const Datagram report = MakeLoadReport(header, now);
+  std::vector<BoxId> all_boxes;
   for (const std::string& hall : members_->Halls()) {
-    const std::vector<BoxId>& boxes = members_->BoxesOf(hall);
-    if (urgency == Urgency::kFleet || hall == hall_ || !summing_)
-      all.insert(all.end(), boxes.begin(), boxes.end());
+    const std::vector<BoxId>& boxes = members_->OtherBoxesOf(hall);
+    if (scope == ImmediateSend::kFleet || hall == hall_ || !uses_aggregates_)
+      all_boxes.insert(all_boxes.end(), boxes.begin(), boxes.end());
   }
-  if (!summing_) {
-    Send(word, all, messages);
+  if (!uses_aggregates_) {
+    Send(report, all_boxes, messages);
     return;
   }
   if (aggregating_)
-    sums_.TakeWord(word, now);
-  std::vector<BoxId> others = urgency == Urgency::kNone ? Sample() : all;
-  std::erase_if(others, [&](BoxId box) {
-    return std::ranges::find(near_, box) != near_.end();
+    hall_aggregates_.OnLoadReport(report, now);
+  std::vector<BoxId> gossip_peers =
+      scope == ImmediateSend::kNone ? NextGossipPeer() : all_boxes;
+  std::erase_if(gossip_peers, [&](BoxId box) {
+    return std::ranges::find(local_aggregators_, box) !=
+           local_aggregators_.end();
   });
-  Send(word, near_, messages);
-  Send(News(word), others, messages);
+  Send(report, local_aggregators_, messages);
+  Send(WithoutLoad(report), gossip_peers, messages);
 }
 
-void LoadReportExchange::AddSum(const Datagram& head,
-                                Datagram sum,
-                                const std::vector<BoxId>& to,
-                                std::vector<Message>* messages) {
-  Datagram whole = head;
-  whole.kind = sum.kind;
-  whole.sum = sum.sum;
-  whole.heartbeat = words_;
-  whole.sequence = ++sequence_;
-  whole.members = std::move(sum.members);
-  whole.loads = std::move(sum.loads);
-  whole.homes = std::move(sum.homes);
-  whole.services = std::move(sum.services);
-  whole.denials = std::move(sum.denials);
-  Send(whole, to, messages);
+void LoadReportExchange::AppendAggregate(const Datagram& header,
+                                         Datagram aggregate,
+                                         const std::vector<BoxId>& to,
+                                         std::vector<Message>* messages) {
+  Datagram datagram = header;
+  datagram.kind = aggregate.kind;
+  datagram.aggregate_header = aggregate.aggregate_header;
+  datagram.heartbeat = load_reports_sent_;
+  datagram.sequence = ++sequence_;
+  datagram.members = std::move(aggregate.members);
+  datagram.loads = std::move(aggregate.loads);
+  datagram.prefix_locations = std::move(aggregate.prefix_locations);
+  datagram.services = std::move(aggregate.services);
+  datagram.denials = std::move(aggregate.denials);
+  Send(datagram, to, messages);
 }
 
-void LoadReportExchange::TellSums(const Datagram& head,
-                                  Millis now,
-                                  std::vector<Message>* messages) {
-  sums_at_ = now;
-  ++sums_told_;
-  AddSum(head, sums_.HallSum(now), aggregators_.Far(now), messages);
-  Datagram fleet = sums_.FleetSum(now);
+void LoadReportExchange::SendAggregates(const Datagram& header,
+                                        Millis now,
+                                        std::vector<Message>* messages) {
+  aggregates_sent_at_ = now;
+  ++aggregates_sent_;
+  AppendAggregate(header, hall_aggregates_.MakeHallAggregate(now),
+                  aggregators_.RemoteAggregators(now), messages);
+  Datagram fleet = hall_aggregates_.MakeFleetAggregate(now);
   fleet.sender = members_->self();
-  TakeFleetSum(fleet, now);
-  AddSum(head, std::move(fleet), members_->BoxesOf(hall_), messages);
+  OnFleetAggregate(fleet, now);
+  AppendAggregate(header, std::move(fleet), members_->OtherBoxesOf(hall_),
+                  messages);
 }
 
-auto LoadReportExchange::DueMessages(const Datagram& head,
-                                     Urgency urgency,
+auto LoadReportExchange::DueMessages(const Datagram& header,
+                                     ImmediateSend scope,
                                      Millis now) -> std::vector<Message> {
   std::vector<Message> messages;
-  SetMode(now);
+  UpdateMode(now);
   if (members_->list().boxes.size() < 2)
     return messages;
-  if (urgency != Urgency::kNone || WordDue(now))
-    TellWord(head, urgency, now, &messages);
-  if (aggregating_ && now - sums_at_ >= Spread(kSumMs, sums_told_))
-    TellSums(head, now, &messages);
+  if (scope != ImmediateSend::kNone || LoadReportDue(now))
+    SendLoadReport(header, scope, now, &messages);
+  if (aggregating_ &&
+      now - aggregates_sent_at_ >=
+          JitteredInterval(kAggregateIntervalMs, aggregates_sent_))
+    SendAggregates(header, now, &messages);
   return messages;
 }
 
--- a/sparbend/core/load_report_exchange.h
+++ b/sparbend/core/load_report_exchange.h
@@ -1,16 +1,19 @@
-// What the boxes of the policy kShared tell each other of loads, service and
-// prefix homes, who tells whom, and how often.
+// Under the policy kShared: which load reports and aggregates this box sends,
+// to whom and how often, and how it applies those that it receives. They carry
+// loads, service, denials and prefix locations.
 //
-// A small fleet: every box tells every other its own word. A larger one: a box
-// tells its word to two boxes of its hall, which add up; these tell the hall's
-// sum to those that add up in other halls, and the fleet's sum to the boxes of
-// their own hall. So what a box hears and says does not grow with the fleet,
-// but for the two of each hall.
+// In a small fleet every box sends its load report to every other box (full
+// mesh). In a larger fleet a box sends it to two boxes of its hall, the
+// aggregators. These send the hall aggregate to the aggregators of the other
+// halls and the fleet aggregate to the boxes of their own hall. So the traffic
+// of a box does not grow with the fleet, except for the two aggregators of each
+// hall.
 //
-//   exchange.Take(datagram, now);
-//   for (const Message& message : exchange.Talk(head, urgency, now)) Send(...);
+//   exchange.OnDatagram(datagram, now);
+//   for (const Message& message : exchange.DueMessages(header, scope, now))
+//     Send(message);
 //
-// Pure.
+// Pure: no I/O and no clock.
 #ifndef SPARBEND_CORE_LOAD_REPORT_EXCHANGE_H_
 #define SPARBEND_CORE_LOAD_REPORT_EXCHANGE_H_
 
@@ -28,102 +31,108 @@
 
 namespace sparbend {
 
-// Whom news of this box must reach without waiting for the next word.
-enum class Urgency { kNone, kHall, kFleet };
+// Which boxes must receive a change of this box immediately rather than with
+// the next periodic load report.
+enum class ImmediateSend { kNone, kHall, kFleet };
 
 class LoadReportExchange {
  public:
-  // One datagram, the same for all that it goes to.
+  // One datagram and its receivers, which all get the same bytes.
   struct Message {
     Datagram datagram;
     std::vector<BoxId> to;
   };
 
-  // `members` and `entry` must outlive this.
+  // `members` and `ingress` must outlive this.
   LoadReportExchange(std::string name,
                      std::string hall,
                      Members* members,
-                     IngressScheduler* entry);
+                     IngressScheduler* ingress);
 
-  // A datagram of a listed box. kRefused for a sum that this box has no use
-  // for, as of another hall's boxes to each other; kInvalid for one that no
-  // fleet can have.
-  auto Take(const Datagram& datagram, Millis now) -> std::error_code;
-  // `box` started anew.
-  void OnRestart(BoxId box) { assembly_.Forget(box); }
+  // Applies a datagram of a listed box. Returns kRefused for an aggregate that
+  // is not meant for this box, such as a fleet aggregate of another hall;
+  // kInvalid for one whose values are impossible for this fleet.
+  auto OnDatagram(const Datagram& datagram, Millis now) -> std::error_code;
+  // Call when `box` has restarted.
+  void OnRestart(BoxId box) { assembler_.Forget(box); }
 
-  // What is to be told now. `head` holds what is the same in all datagrams of
-  // this box.
-  auto DueMessages(const Datagram& head, Urgency urgency, Millis now)
+  // The datagrams that are due now. `header` holds the fields that are the same
+  // in all datagrams of this box.
+  auto DueMessages(const Datagram& header, ImmediateSend scope, Millis now)
       -> std::vector<Message>;
 
-  // Boxes that the view of the fleet rests on, this one included.
-  auto boxes() const -> size_t { return boxes_; }
-  // Since the fleet's sum that is believed was made; zero in a small fleet.
-  auto SumAge(Millis now) const -> Millis;
-  // How much older than its sender's a word may be that went through sums.
-  auto Lag() const -> Millis;
-  // Whether this box adds up for its hall.
+  // Number of boxes that the accepted fleet aggregate covers, this one
+  // included; 1 before the first aggregate.
+  auto box_count() const -> size_t { return box_count_; }
+  // Time since the accepted fleet aggregate was received; zero in a full mesh.
+  auto AggregateAge(Millis now) const -> Millis;
+  // By how much a report that went through aggregates may be older than one
+  // sent directly; zero in a full mesh.
+  auto ReportLag() const -> Millis;
+  // Whether this box aggregates for its hall.
   auto aggregating() const -> bool { return aggregating_; }
 
  private:
-  // What this box told itself with one word.
-  struct Told {
+  // The contents of one load report that this box sent.
+  struct SentReport {
     uint32_t heartbeat = 0;
     std::vector<TargetLoad> loads;
     std::vector<FlowValue> served;
     std::vector<FlowValue> denied;
-    Millis at;
+    Millis sent_at;
   };
 
-  auto Summing() const -> bool;
-  void SetMode(Millis now);
-  auto WordDue(Millis now) const -> bool;
-  auto Spread(int64_t interval, uint32_t turn) const -> Millis;
-  auto WordInterval() const -> int64_t;
-  auto OwnWord(const Datagram& head, Millis now) -> Datagram;
-  static auto News(const Datagram& word) -> Datagram;
-  // The next box of the hall in turn.
-  auto Sample() -> std::vector<BoxId>;
-  void TellWord(const Datagram& head,
-                Urgency urgency,
-                Millis now,
-                std::vector<Message>* messages);
-  void TellSums(const Datagram& head,
-                Millis now,
-                std::vector<Message>* messages);
-  void AddSum(const Datagram& head,
-              Datagram sum,
-              const std::vector<BoxId>& to,
-              std::vector<Message>* messages);
-  void TakeWord(const Datagram& word, Millis now);
-  auto TakeSum(const Datagram& sum, Millis now) -> std::error_code;
-  void TakeFleetSum(const Datagram& sum, Millis now);
-  auto EchoOf(const Datagram& sum) const -> const Told*;
+  // Whether the fleet is too large for a full mesh.
+  auto NeedsAggregates() const -> bool;
+  void UpdateMode(Millis now);
+  auto LoadReportDue(Millis now) const -> bool;
+  // `interval_ms` with a jitter that depends on this box and on `count`, the
+  // number of datagrams of the kind that were sent before.
+  auto JitteredInterval(int64_t interval_ms, uint32_t count) const -> Millis;
+  auto LoadReportIntervalMs() const -> int64_t;
+  auto MakeLoadReport(const Datagram& header, Millis now) -> Datagram;
+  static auto WithoutLoad(const Datagram& report) -> Datagram;
+  // The next box of the hall, round robin; empty if there is no other box.
+  auto NextGossipPeer() -> std::vector<BoxId>;
+  void SendLoadReport(const Datagram& header,
+                      ImmediateSend scope,
+                      Millis now,
+                      std::vector<Message>* messages);
+  void SendAggregates(const Datagram& header,
+                      Millis now,
+                      std::vector<Message>* messages);
+  void AppendAggregate(const Datagram& header,
+                       Datagram aggregate,
+                       const std::vector<BoxId>& to,
+                       std::vector<Message>* messages);
+  void OnLoadReport(const Datagram& report, Millis now);
+  auto OnAggregate(const Datagram& aggregate, Millis now) -> std::error_code;
+  void OnFleetAggregate(const Datagram& aggregate, Millis now);
+  auto OwnContribution(const Datagram& aggregate) const -> const SentReport*;
 
   std::string name_;
   std::string hall_;
   Members* members_;
-  IngressScheduler* entry_;
+  IngressScheduler* ingress_;
   Aggregators aggregators_;
-  HallAggregates sums_;
-  AggregateAssembler assembly_;
-  std::deque<Told> told_;  // the newest last
-  bool summing_ = false;
+  HallAggregates hall_aggregates_;
+  AggregateAssembler assembler_;
+  std::deque<SentReport> sent_reports_;  // oldest first
+  bool uses_aggregates_ = false;         // else full mesh
   bool aggregating_ = false;
-  std::vector<BoxId> near_;  // that add up for this hall, without this box
+  std::vector<BoxId> local_aggregators_;  // without this box
   uint32_t sequence_ = 0;
-  uint32_t words_ = 0;  // told so far; this box's heartbeat
-  Millis word_at_;
-  uint32_t sums_told_ = 0;
-  Millis sums_at_;
-  Millis whole_at_;
-  size_t sampled_ = 0;
-  // The fleet's sum that is believed.
-  BoxId sum_from_ = 0;
-  uint32_t sum_boxes_ = 0;
-  Millis sum_taken_;
-  size_t boxes_ = 1;
+  uint32_t load_reports_sent_ = 0;  // also this box's heartbeat
+  Millis load_report_sent_at_;
+  uint32_t aggregates_sent_ = 0;
+  Millis aggregates_sent_at_;
+  Millis gossip_sent_at_;        // in a full mesh
+  size_t next_gossip_peer_ = 0;  // index into the boxes of the hall
+  // The accepted fleet aggregate.
+  BoxId aggregate_sender_ = 0;
+  uint32_t aggregate_box_count_ = 0;
+  Millis aggregate_received_at_;
+  size_t box_count_ = 1;
 };
 
 }  // namespace sparbend
--- a/sparbend/core/load_report_exchange_test.cc
+++ b/sparbend/core/load_report_exchange_test.cc
@@ -1,5 +1,6 @@
-// What a box believes of sums that it should not: its influence is bounded, and
-// the sender's next true sum makes it good.
+// Wrong aggregates: impossible ones are rejected, and the effect of others ends
+// with the next aggregates of the aggregators. Also that each hall has two
+// aggregators, and that one that sends nothing is replaced.
 #include "sparbend/core/load_report_exchange.h"
 
 #include <algorithm>
@@ -36,19 +37,21 @@
       fleet->Step(Millis(50));
   }
 
-  // A fleet's sum as box `from` would send it next.
-  auto FleetSum(int from) -> Datagram {
-    Datagram sum;
-    sum.kind = DatagramKind::kFleetAggregate;
-    sum.sender = BoxIdOf("box-" + std::to_string(from));
-    sum.incarnation = 1;
-    sum.sequence = 1'000'000;
-    sum.heartbeat = 1'000'000;
-    sum.sum.boxes = kBoxes;
-    sum.loads = {{TargetIdOf("target-0"), 5, 5, 5}};
-    return sum;
+  // A fleet aggregate as box `sender` could send it next. Its sequence number
+  // and heartbeat are higher than any before, so that it is not dropped as old.
+  auto FleetAggregate(int sender) -> Datagram {
+    Datagram aggregate;
+    aggregate.kind = DatagramKind::kFleetAggregate;
+    aggregate.sender = BoxIdOf("box-" + std::to_string(sender));
+    aggregate.incarnation = 1;
+    aggregate.sequence = 1'000'000;
+    aggregate.heartbeat = 1'000'000;
+    aggregate.aggregate_header.boxes = kBoxes;
+    aggregate.loads = {{TargetIdOf("target-0"), 5, 5, 5}};
+    return aggregate;
   }
 
+  // Requests running at target-0, in the view of `box`.
   auto Running(int box) -> uint32_t {
     return fleet->at(box)
         .ingress_scheduler()
@@ -58,72 +61,81 @@
         .running;
   }
 
-  auto Tell(int box, const Datagram& sum) -> std::error_code {
-    return fleet->at(box).OnDatagram(EncodeDatagram(sum, kKey), fleet->now());
+  auto Deliver(int box, const Datagram& aggregate) -> std::error_code {
+    return fleet->at(box).OnDatagram(EncodeDatagram(aggregate, kKey),
+                                     fleet->now());
   }
 };
 
-TEST(LoadReportExchange, SumsThatNoFleetCanHaveAreRefused) {
+TEST(LoadReportExchange, ImpossibleAggregatesAreRefused) {
   struct Case {
     const char* what;
     std::function<void(Datagram*)> change;
-    std::error_code refused;  // none: it is taken
-    uint32_t running;         // believed after it
+    std::error_code error;  // none: accepted
+    uint32_t running;       // at target-0 afterwards, in the receiver's view
   };
   const Case cases[] = {
-      {"a proper sum", [](Datagram*) {}, {}, 5},
+      {"valid aggregate", [](Datagram*) {}, {}, 5},
       {"more boxes than are listed",
-       [](Datagram* sum) { sum->sum.boxes = kBoxes + 1; }, Errc::kInvalid, 0},
-      {"an absurd load",
-       [](Datagram* sum) { sum->loads[0].running = 2'000'000'000; },
+       [](Datagram* aggregate) {
+         aggregate->aggregate_header.boxes = kBoxes + 1;
+       },
+       Errc::kInvalid, 0},
+      {"impossibly high load",
+       [](Datagram* aggregate) { aggregate->loads[0].running = 2'000'000'000; },
        Errc::kInvalid, 0},
       {"negative service",
-       [](Datagram* sum) { sum->services = {{{1, 1}, -5}}; }, Errc::kInvalid,
-       0},
-      {"a sum that counts hardly a box",
-       [](Datagram* sum) { sum->sum.boxes = 1; },
+       [](Datagram* aggregate) { aggregate->services = {{{1, 1}, -5}}; },
+       Errc::kInvalid, 0},
+      {"covers fewer boxes than the accepted aggregate: ignored",
+       [](Datagram* aggregate) { aggregate->aggregate_header.boxes = 1; },
        {},
        0},
-      {"the fleet's sum from another hall",
-       [](Datagram* sum) { sum->sender = BoxIdOf("box-1"); }, Errc::kRefused,
-       0},
-      {"a hall's sum from the own hall",
-       [](Datagram* sum) { sum->kind = DatagramKind::kHallAggregate; },
-       Errc::kRefused, 0},
-      {"a sum from nobody", [](Datagram* sum) { sum->sender = 12'345; },
+      {"fleet aggregate of another hall",
+       [](Datagram* aggregate) { aggregate->sender = BoxIdOf("box-1"); },
        Errc::kRefused, 0},
-      {"a replayed sum", [](Datagram* sum) { sum->sequence = 1; },
+      {"hall aggregate of the receiver's own hall",
+       [](Datagram* aggregate) {
+         aggregate->kind = DatagramKind::kHallAggregate;
+       },
        Errc::kRefused, 0},
+      {"sender is not listed",
+       [](Datagram* aggregate) { aggregate->sender = 12'345; }, Errc::kRefused,
+       0},
+      {"old sequence number",
+       [](Datagram* aggregate) { aggregate->sequence = 1; }, Errc::kRefused, 0},
   };
   for (const Case& row : cases) {
     setup();
     constexpr int kReceiver = 0;
-    constexpr int kSender = 3;  // of the same hall
-    Datagram sum = FleetSum(kSender);
-    row.change(&sum);
-    CHECK_TEXT(Tell(kReceiver, sum) == row.refused, row.what);
+    constexpr int kSender = 3;  // in the same hall as the receiver
+    Datagram aggregate = FleetAggregate(kSender);
+    row.change(&aggregate);
+    CHECK_TEXT(Deliver(kReceiver, aggregate) == row.error, row.what);
     LONGS_EQUAL_TEXT(row.running, Running(kReceiver), row.what);
-    // The sums of those who do add up make it good.
+    // The aggregates of the hall's aggregators replace it.
     Run(Millis(2'000));
     LONGS_EQUAL_TEXT(0, Running(kReceiver), row.what);
   }
 }
 
-TEST(LoadReportExchange, TwoBoxesOfAHallAddUp) {
+TEST(LoadReportExchange, EachHallHasTwoAggregators) {
   fleet->ResetTraffic();
   Run(Millis(5'000));
-  std::map<std::string, std::vector<size_t>> sent;
+  // Datagrams sent and received, by hall, one number per box.
+  std::map<std::string, std::vector<size_t>> traffic;
   for (int box = 0; box < kBoxes; ++box)
-    sent[fleet->hall(box)].push_back(fleet->traffic(box).datagrams);
-  LONGS_EQUAL(kHalls, sent.size());
-  // The second of a hall sends far more than the third.
-  for (auto& [hall, datagrams] : sent) {
+    traffic[fleet->hall(box)].push_back(fleet->traffic(box).datagrams);
+  LONGS_EQUAL(kHalls, traffic.size());
+  // The second busiest box of a hall has far more traffic than the third.
+  for (auto& [hall, datagrams] : traffic) {
     std::ranges::sort(datagrams, std::greater());
     CHECK(datagrams[1] > 2 * datagrams[2]);
   }
 }
 
-TEST(LoadReportExchange, OneThatIsMuteIsPassedOverWithinTwoSeconds) {
+// The busiest box is an aggregator; it stops sending but still receives.
+TEST(LoadReportExchange, AnAggregatorThatStopsSendingIsReplaced) {
   fleet->ResetTraffic();
   Run(Millis(1'000));
   int busiest = 0;
@@ -132,13 +144,14 @@
       busiest = box;
   }
   fleet->SetMute(busiest, true);
-  Millis worst;
+  Millis largest_age;
   for (int step = 0; step < 100; ++step) {
     fleet->Step(Millis(50));
     for (int box = 0; box < kBoxes; ++box)
-      worst = std::max(worst, fleet->at(box).aggregate_age(fleet->now()));
+      largest_age =
+          std::max(largest_age, fleet->at(box).aggregate_age(fleet->now()));
   }
-  CHECK(worst <= Millis(1'000));
+  CHECK(largest_age <= Millis(1'000));
 }
 
 }  // namespace
--- a/sparbend/core/members.cc
+++ b/sparbend/core/members.cc
@@ -1,9 +1,9 @@
-// Liveness is a heartbeat count that rises; it counts whichever way the news
-// came, so a cut between two boxes alone makes neither dead to the other.
-// A dead box needs no verdict of its own: it is simply not heard of. This is
-// gossip-style failure detection without a suspicion state; a false alarm
-// moves an allocator's duty, which costs queueing at one target for as long
-// as views differ, and no promise rests on it.
+// Gossip-style failure detection without a suspicion state. A box is live while
+// its heartbeat count rises. The count may arrive directly or by gossip, so a
+// network cut between two boxes alone makes neither dead to the other. A box is
+// never declared dead; its heartbeat just times out. A false positive moves the
+// allocator role of a target to another box, which costs queueing at that
+// target while the views of the boxes differ; no guarantee depends on it.
 #include "sparbend/core/members.h"
 
 #include <algorithm>
@@ -12,15 +12,15 @@
 namespace sparbend {
 namespace {
 
-constexpr const char* kSumDuty = "sums";
+constexpr const char* kAggregatorRole = "sums";
 
 auto RendezvousWeight(BoxId box, TargetId target) -> uint64_t {
-  // splitmix64's finaliser over both ids: cheap, and even enough (the test
-  // checks the spread).
-  uint64_t mixed = (uint64_t{box} << 32 | target) + 0x9e3779b97f4a7c15;
-  mixed = (mixed ^ (mixed >> 30)) * 0xbf58476d1ce4e5b9;
-  mixed = (mixed ^ (mixed >> 27)) * 0x94d049bb133111eb;
-  return mixed ^ (mixed >> 31);
+  // The finaliser of splitmix64 over both ids: cheap, and it spreads targets
+  // evenly enough over boxes, which a test checks.
+  uint64_t hash = (uint64_t{box} << 32 | target) + 0x9e3779b97f4a7c15;
+  hash = (hash ^ (hash >> 30)) * 0xbf58476d1ce4e5b9;
+  hash = (hash ^ (hash >> 27)) * 0x94d049bb133111eb;
+  return hash ^ (hash >> 31);
 }
 
 }  // namespace
@@ -43,15 +43,15 @@
   list_ = list;
   boxes_.clear();
   by_hall_.clear();
-  ranked_.clear();
+  ranked_boxes_.clear();
   for (const BoxEntry& box : list.boxes) {
     const BoxId id = BoxIdOf(box.name);
     boxes_[id] = box;
-    listed_at_.try_emplace(id, now);
+    first_listed_at_.try_emplace(id, now);
     if (id != self_)
       by_hall_[box.hall].push_back(id);
   }
-  std::erase_if(listed_at_, [&](const auto& entry) {
+  std::erase_if(first_listed_at_, [&](const auto& entry) {
     return !boxes_.contains(entry.first);
   });
   std::erase_if(states_, [&](const auto& state) {
@@ -60,21 +60,21 @@
   return true;
 }
 
-void Members::OnMemberNews(const MemberNews& news, Millis now) {
-  if (news.box == self_ || !boxes_.contains(news.box))
+void Members::OnMemberNews(const MemberUpdate& update, Millis now) {
+  if (update.box == self_ || !boxes_.contains(update.box))
     return;
-  State& state = states_[news.box];
-  if (news.incarnation < state.incarnation)
+  State& state = states_[update.box];
+  if (update.incarnation < state.incarnation)
     return;
-  if (news.incarnation > state.incarnation) {
-    state = State{news.incarnation, news.heartbeat, news.leaving, now};
+  if (update.incarnation > state.incarnation) {
+    state = State{update.incarnation, update.heartbeat, update.leaving, now};
     return;
   }
-  state.leaving = state.leaving || news.leaving;
-  if (news.heartbeat <= state.heartbeat)
+  state.leaving = state.leaving || update.leaving;
+  if (update.heartbeat <= state.heartbeat)
     return;
-  state.heartbeat = news.heartbeat;
-  state.heard = now;
+  state.heartbeat = update.heartbeat;
+  state.last_seen = now;
 }
 
 auto Members::Find(BoxId box) const -> const BoxEntry* {
@@ -87,7 +87,7 @@
     return !leaving_;
   const auto state = states_.find(box);
   return state != states_.end() && !state->second.leaving &&
-         now - state->second.heard < kSilence;
+         now - state->second.last_seen < kMemberTimeout;
 }
 
 auto Members::LiveBoxes(Millis now) const -> std::vector<BoxId> {
@@ -113,15 +113,16 @@
   return best;
 }
 
-auto Members::Ranked(const std::string& hall, const std::string& duty) const
+auto Members::RankedBoxes(const std::string& hall,
+                          const std::string& role) const
     -> const std::vector<BoxId>& {
-  const auto [found, missing] = ranked_.try_emplace({hall, duty});
+  const auto [found, missing] = ranked_boxes_.try_emplace({hall, role});
   if (!missing)
     return found->second;
   std::vector<std::tuple<int, uint64_t, BoxId>> ranks;
   for (const auto& [id, box] : boxes_) {
     if (box.hall == hall)
-      ranks.emplace_back(box.processor, StableHash(box.name + duty), id);
+      ranks.emplace_back(box.processor, StableHash(box.name + role), id);
   }
   std::ranges::sort(ranks, std::greater());
   for (const auto& [processor, hash, id] : ranks)
@@ -129,24 +130,25 @@
   return found->second;
 }
 
-auto Members::MayLive(BoxId box, Millis now) const -> bool {
+auto Members::MayBeLive(BoxId box, Millis now) const -> bool {
   if (IsLive(box, now))
     return true;
-  const auto listed = listed_at_.find(box);
-  return box != self_ && !states_.contains(box) && listed != listed_at_.end() &&
-         now - listed->second < kSilence;
+  const auto listed = first_listed_at_.find(box);
+  return box != self_ && !states_.contains(box) &&
+         listed != first_listed_at_.end() &&
+         now - listed->second < kMemberTimeout;
 }
 
-auto Members::AnyLive(const std::string& hall, Millis now) const -> bool {
-  return std::ranges::any_of(BoxesOf(hall),
+auto Members::AnyOtherLive(const std::string& hall, Millis now) const -> bool {
+  return std::ranges::any_of(OtherBoxesOf(hall),
                              [&](BoxId box) { return IsLive(box, now); });
 }
 
-auto Members::BoxesOf(const std::string& hall) const
+auto Members::OtherBoxesOf(const std::string& hall) const
     -> const std::vector<BoxId>& {
-  static const std::vector<BoxId> none;
+  static const std::vector<BoxId> no_boxes;
   const auto found = by_hall_.find(hall);
-  return found == by_hall_.end() ? none : found->second;
+  return found == by_hall_.end() ? no_boxes : found->second;
 }
 
 auto Members::Halls() const -> std::vector<std::string> {
@@ -159,11 +161,11 @@
 auto Members::Aggregators(const std::string& hall,
                           size_t count,
                           Millis now) const -> std::vector<BoxId> {
-  const std::vector<BoxId>& ranked = Ranked(hall, kSumDuty);
+  const std::vector<BoxId>& ranked = RankedBoxes(hall, kAggregatorRole);
   std::vector<BoxId> boxes;
   for (const BoxId box : ranked) {
-    const bool lives = box == self_ ? !leaving_ : MayLive(box, now);
-    if (lives && boxes.size() < count)
+    const bool may_be_live = box == self_ ? !leaving_ : MayBeLive(box, now);
+    if (may_be_live && boxes.size() < count)
       boxes.push_back(box);
   }
   if (!boxes.empty())
@@ -173,38 +175,38 @@
   return boxes;
 }
 
-auto Members::HasRole(const std::string& duty,
+auto Members::HasRole(const std::string& role,
                       size_t count,
                       Millis now,
-                      const IsAble& able) const -> bool {
+                      const IsEligible& eligible) const -> bool {
   const BoxEntry* self = Find(self_);
   if (self == nullptr || leaving_)
     return false;
-  size_t before = 0;
-  for (const BoxId box : Ranked(self->hall, duty)) {
+  size_t ranked_higher = 0;
+  for (const BoxId box : RankedBoxes(self->hall, role)) {
     if (box == self_)
       return true;
-    if (IsLive(box, now) && (!able || able(box)))
-      ++before;
-    if (before >= count)
+    if (IsLive(box, now) && (!eligible || eligible(box)))
+      ++ranked_higher;
+    if (ranked_higher >= count)
       return false;
   }
   return false;
 }
 
-auto Members::NextNews(size_t most) -> std::vector<MemberNews> {
-  std::vector<MemberNews> news;
-  const size_t count = std::min(most, states_.size());
+auto Members::NextUpdates(size_t max_count) -> std::vector<MemberUpdate> {
+  std::vector<MemberUpdate> updates;
+  const size_t count = std::min(max_count, states_.size());
   for (size_t i = 0; i < count; ++i) {
-    auto after = states_.upper_bound(passed_on_);
+    auto after = states_.upper_bound(last_gossiped_);
     if (after == states_.end())
       after = states_.begin();
-    passed_on_ = after->first;
+    last_gossiped_ = after->first;
     const State& state = after->second;
-    news.push_back(
+    updates.push_back(
         {after->first, state.incarnation, state.heartbeat, state.leaving});
   }
-  return news;
+  return updates;
 }
 
 }  // namespace sparbend
--- a/sparbend/core/members.h
+++ b/sparbend/core/members.h
@@ -1,11 +1,12 @@
-// Who is in the fleet: the platform's list says who may be a member, hearing
-// from a box says that it lives, directly or by what others have heard.
+// Membership of the fleet. The platform's list says which boxes may be members;
+// datagrams from a box, or gossip about it from other boxes, show that it is
+// live.
 //
-//   members.SetList(version, boxes);      // as read, however late
-//   members.Heard(box, incarnation, heartbeat, leaving, now);
-//   members.AllocatorOf(target_name, hall, now);
+//   members.SetList(list, now);
+//   members.OnMemberNews({box, incarnation, heartbeat, leaving}, now);
+//   members.AllocatorOf(target, hall, now);
 //
-// Leaving is sticky for an incarnation: nothing but a later one undoes it.
+// Once a box is leaving, it stays so until an update with a higher incarnation.
 #ifndef SPARBEND_CORE_MEMBERS_H_
 #define SPARBEND_CORE_MEMBERS_H_
 
@@ -22,34 +23,35 @@
 
 namespace sparbend {
 
-// A box as the platform lists it.
+// A box in the platform's list.
 struct BoxEntry {
   std::string name;
   std::string hall;
   std::string peer_address;   // ip:port, UDP
   std::string admin_address;  // ip:port, HTTP
   bool leaving = false;
-  // Thousandths of a processor core that it may use; zero: not told.
+  // Thousandths of a processor core that the box may use; zero: unknown.
   int processor = 0;
 
   auto operator==(const BoxEntry&) const -> bool = default;
 };
 
-// A target as the platform lists it.
+// A target in the platform's list.
 struct TargetEntry {
   std::string name;
   std::string hall;
   std::string pool;
   std::string address;  // ip:port, HTTP
-  int slots = 1;        // requests it runs well at once
+  int slots = 1;        // requests that it runs well at the same time
   bool leaving = false;
-  // When it started, in Unix milliseconds by its own clock; zero: not told. A
-  // target may start again under its name, and then knows nothing of before.
+  // Process start time in Unix milliseconds, by the target's clock; zero:
+  // unknown. A target may restart under its name, and then has lost its state.
   int64_t started_at_ms = 0;
-  // How much longer from `beat` on it bears few requests only.
+  // For how much longer, from `beat` on, the target is cold: it sustains only
+  // few requests.
   Millis cold_left;
-  // Rises with each sign of life since it started; zero: not told. Entries that
-  // differ in this and in how long they stay cold are equal.
+  // Heartbeat: rises with each record of the target since its start; zero:
+  // unknown. Not part of the comparison, and neither is cold_left.
   int64_t beat = 0;
 
   auto operator==(const TargetEntry& other) const -> bool {
@@ -59,11 +61,12 @@
   }
 };
 
-// The number of one life of a target. Whatever is kept by it (loads, prefixes,
-// speed, failures, connections) ends with that life.
+// The id of one incarnation of a target. State that is kept by this id (loads,
+// prefix locations, speed, failures, connections) is not carried over to the
+// next incarnation. Without a start time it is the id of the name.
 auto IdOf(const TargetEntry& target) -> TargetId;
 
-// The whole list at one version.
+// The complete list at one version.
 struct MemberList {
   int64_t version = 0;
   std::vector<BoxEntry> boxes;
@@ -72,69 +75,76 @@
   auto operator==(const MemberList&) const -> bool = default;
 };
 
-// A box that was not heard of for this long is taken for dead.
-inline constexpr Millis kSilence = Millis(2'000);
+// A box whose heartbeat has not risen for this long is considered dead.
+inline constexpr Millis kMemberTimeout = Millis(2'000);
 
-// The duty of the box that reads the platform's store for its hall.
+// The role of the box that reads the platform's store for its hall.
 inline constexpr const char* kStoreReaderRole = "store";
 
 class Members {
  public:
   Members(std::string self, uint32_t incarnation);
 
-  // Takes the list if it is newer than the one held; true if it was.
+  // Replaces the list if the version of `list` is higher; returns whether it
+  // is.
   auto SetList(const MemberList& list, Millis now) -> bool;
   auto list() const -> const MemberList& { return list_; }
 
-  // A sign of life. Older incarnations and heartbeats change nothing.
-  void OnMemberNews(const MemberNews& news, Millis now);
-  // This box itself leaves.
+  // Applies an update about a listed box, from the box itself or by gossip.
+  // Ignores updates with an older incarnation or heartbeat, except that
+  // `leaving` counts for the current incarnation at any heartbeat.
+  void OnMemberNews(const MemberUpdate& update, Millis now);
+  // Marks this box as leaving.
   void LeaveSelf() { leaving_ = true; }
 
   auto self() const -> BoxId { return self_; }
   auto self_name() const -> const std::string& { return self_name_; }
   auto incarnation() const -> uint32_t { return incarnation_; }
   auto leaving() const -> bool { return leaving_; }
+  // Null if `box` is not listed.
   auto Find(BoxId box) const -> const BoxEntry*;
   auto IsLive(BoxId box, Millis now) const -> bool;
   auto LiveBoxes(Millis now) const -> std::vector<BoxId>;
 
-  // The live box of `hall` that allocates `target`'s slots by this box's
-  // view: the highest rendezvous hash. Nothing if the hall has no live box.
+  // The box that allocates the slots of `target`, in the view of this box: the
+  // live box of `hall` with the highest rendezvous hash. Nothing if the hall
+  // has no live box.
   auto AllocatorOf(TargetId target, const std::string& hall, Millis now) const
       -> std::optional<BoxId>;
 
-  // The boxes that add up for `hall`, at most `count`: those with the most
-  // processor time among the live ones, and among equals by a rendezvous hash.
-  // Boxes that were listed a moment ago count as live until they can be heard;
-  // of a hall without any such box all may be meant, since a hall that was cut
-  // off is not heard of.
+  // The boxes that build the aggregate of `hall`, at most `count`: the live
+  // ones with the most processor time, ordered by a rendezvous hash among
+  // equals. A box that was first listed less than kMemberTimeout ago counts as
+  // live, since no datagram of it can have been received yet. If no box counts
+  // as live, all count: nothing is received from a hall that is cut off.
   auto Aggregators(const std::string& hall, size_t count, Millis now) const
       -> std::vector<BoxId>;
-  // Whether any box of `hall` but this one lives, as far as is known.
-  auto AnyLive(const std::string& hall, Millis now) const -> bool;
-  // The listed boxes of `hall` without this one, in a fixed order.
-  auto BoxesOf(const std::string& hall) const -> const std::vector<BoxId>&;
+  // Whether any box of `hall` other than this one is live.
+  auto AnyOtherLive(const std::string& hall, Millis now) const -> bool;
+  // The listed boxes of `hall` without this one, in the order of the list.
+  auto OtherBoxesOf(const std::string& hall) const -> const std::vector<BoxId>&;
+  // The halls that have a listed box other than this one.
   auto Halls() const -> std::vector<std::string>;
 
   // Whether this box is among the first `count` live boxes of its hall for
-  // `duty`, ranked as Aggregators does; false when it is not listed. Others
-  // that are not `able` are passed over; none given: all are.
-  using IsAble = std::function<bool(BoxId)>;
-  auto HasRole(const std::string& duty,
+  // `role`, ranked as by Aggregators; false if it is not listed. Other boxes
+  // for which `eligible` is false are skipped; if null, all are eligible.
+  using IsEligible = std::function<bool(BoxId)>;
+  auto HasRole(const std::string& role,
                size_t count,
                Millis now,
-               const IsAble& able = nullptr) const -> bool;
+               const IsEligible& eligible = nullptr) const -> bool;
 
-  // News of third boxes to pass on, the next `most` in turn.
-  auto NextNews(size_t most) -> std::vector<MemberNews>;
+  // Updates about the next boxes to gossip about, at most `max_count`, round
+  // robin over the boxes about which an update was received.
+  auto NextUpdates(size_t max_count) -> std::vector<MemberUpdate>;
 
  private:
   struct State {
     uint32_t incarnation = 0;
     uint32_t heartbeat = 0;
     bool leaving = false;
-    Millis heard;
+    Millis last_seen;  // when `heartbeat` last rose
   };
 
   std::string self_name_;
@@ -142,20 +152,21 @@
   uint32_t incarnation_;
   bool leaving_ = false;
   MemberList list_;
-  // The boxes of `hall`, this one included, the first to have `duty` first.
-  auto Ranked(const std::string& hall, const std::string& duty) const
+  // The boxes of `hall` including this one, best candidate for `role` first.
+  auto RankedBoxes(const std::string& hall, const std::string& role) const
       -> const std::vector<BoxId>&;
-  // Lives, or was listed too lately to have been heard.
-  auto MayLive(BoxId box, Millis now) const -> bool;
+  // Whether `box` is live, or was listed too recently to be known as live.
+  auto MayBeLive(BoxId box, Millis now) const -> bool;
 
   std::map<BoxId, BoxEntry> boxes_;
   std::map<std::string, std::vector<BoxId>> by_hall_;  // without this box
-  std::map<BoxId, Millis> listed_at_;                  // first
-  // By hall and duty; kept until the list changes, since a rank takes a hash.
+  std::map<BoxId, Millis> first_listed_at_;
+  // By hall and role. Cached until the list changes, since ranking takes a
+  // hash per box.
   mutable std::map<std::pair<std::string, std::string>, std::vector<BoxId>>
-      ranked_;
+      ranked_boxes_;
   std::map<BoxId, State> states_;
-  BoxId passed_on_ = 0;
+  BoxId last_gossiped_ = 0;  // the box of the last update from NextUpdates
 };
 
 }  // namespace sparbend
--- a/sparbend/core/messages.cc
+++ b/sparbend/core/messages.cc
@@ -1,12 +1,13 @@
-// Layout: 8 bytes of HMAC-SHA-256, then a MessagePack array: version, header
-// numbers, and one flat array of numbers per section. Flat arrays rather than
-// maps or nested tables, because a request's share of the control budget is
-// about 170 bytes (docs/DESIGN.md, "control traffic") and field names would
-// take half of it. Protobuf with committed generated code was weighed: its
-// packed varints save about 10% here and need a generator for each change.
+// Layout: 8 bytes of HMAC-SHA-256, then a MessagePack array of the wire
+// version, the header numbers, and one flat array of numbers per section. The
+// arrays are flat, rather than maps or nested arrays, because the budget of
+// control traffic is about 170 bytes per request (docs/DESIGN.md, "control
+// traffic") and field names would take half of it. Protobuf with committed
+// generated code would save about 10% by its packed varints, but would need a
+// run of the generator for each change.
 //
-// A tag of 64 bits is enough for datagrams that live for milliseconds and are
-// dropped unless their sequence rises.
+// A tag of 64 bits is enough, since a datagram is valid for milliseconds only
+// and is dropped unless its sequence number rises.
 #include "sparbend/core/messages.h"
 
 #include <optional>
@@ -20,10 +21,10 @@
 
 constexpr int64_t kWireVersion = 7;
 constexpr size_t kTagBytes = 8;
-constexpr size_t kHeaderNumbers = 15;
-constexpr uint32_t kMostKind =
+constexpr size_t kHeaderNumberCount = 15;
+constexpr uint32_t kMaxKind =
     static_cast<uint32_t>(DatagramKind::kFleetAggregate);
-constexpr size_t kSections = 12;
+constexpr size_t kSectionCount = 12;
 constexpr int64_t kMaxU32 = UINT32_MAX;
 constexpr int64_t kMaxValue = INT64_MAX / 4;
 
@@ -38,7 +39,7 @@
   return flat;
 }
 
-auto EncodeReports(const std::vector<LeaseReport>& reports) -> Json {
+auto EncodeLeaseReports(const std::vector<LeaseReport>& reports) -> Json {
   Json flat = Json::array();
   for (const LeaseReport& report : reports)
     flat.insert(flat.end(), {report.target, report.epoch, report.granted_seen,
@@ -46,9 +47,9 @@
   return flat;
 }
 
-// A pool's number is written only where it differs from the entry before,
-// as a negative number, less one since a pool may be number zero: most entries
-// of a datagram are of one pool.
+// Writes the id of the flow's pool only if it differs from `*pool`, the pool of
+// the entry before, since most entries of a datagram have the same pool. It is
+// written as -1 - id to tell it from a workspace: the id may be zero.
 void EncodeFlow(const Flow& flow, PoolId* pool, Json* flat) {
   if (flow.pool != *pool)
     flat->push_back(-1 - int64_t{flow.pool});
@@ -66,7 +67,7 @@
   return flat;
 }
 
-auto EncodeValues(const std::vector<FlowValue>& values) -> Json {
+auto EncodeFlowValues(const std::vector<FlowValue>& values) -> Json {
   Json flat = Json::array();
   PoolId pool = 0;
   for (const FlowValue& value : values) {
@@ -76,18 +77,18 @@
   return flat;
 }
 
-auto EncodeFloors(const std::vector<SlotKeepLimit>& floors) -> Json {
+auto EncodeSlotKeepLimits(const std::vector<SlotKeepLimit>& limits) -> Json {
   Json flat = Json::array();
-  for (const SlotKeepLimit& floor : floors)
-    flat.insert(flat.end(), {floor.pool, floor.value});
+  for (const SlotKeepLimit& limit : limits)
+    flat.insert(flat.end(), {limit.pool, limit.value});
   return flat;
 }
 
-auto EncodeMembers(const std::vector<MemberNews>& members) -> Json {
+auto EncodeMembers(const std::vector<MemberUpdate>& members) -> Json {
   Json flat = Json::array();
-  for (const MemberNews& news : members)
-    flat.insert(flat.end(), {news.box, news.incarnation, news.heartbeat,
-                             news.leaving ? 1 : 0});
+  for (const MemberUpdate& update : members)
+    flat.insert(flat.end(), {update.box, update.incarnation, update.heartbeat,
+                             update.leaving ? 1 : 0});
   return flat;
 }
 
@@ -99,24 +100,26 @@
   return flat;
 }
 
-auto EncodeHomes(const std::vector<PrefixLocation>& homes) -> Json {
+auto EncodePrefixLocations(const std::vector<PrefixLocation>& locations)
+    -> Json {
   Json flat = Json::array();
-  for (const PrefixLocation& home : homes)
-    flat.insert(flat.end(), {home.prefix, home.target});
+  for (const PrefixLocation& location : locations)
+    flat.insert(flat.end(), {location.prefix, location.target});
   return flat;
 }
 
 auto EncodeSuspicions(const std::vector<Suspicion>& suspicions) -> Json {
   Json flat = Json::array();
-  for (const Suspicion& row : suspicions)
+  for (const Suspicion& suspicion : suspicions)
     flat.insert(flat.end(),
-                {row.request.workspace, row.request.path, row.request.body,
-                 row.cleared, row.ends, row.age_s});
+                {suspicion.request.workspace, suspicion.request.path,
+                 suspicion.request.body, suspicion.cleared, suspicion.ends,
+                 suspicion.age_s});
   return flat;
 }
 
-// Takes numbers off a flat array; once one is missing or out of bounds the
-// rest reads as zero and `ok` stays false.
+// Takes numbers from a flat array, front to back. Once a number is missing or
+// out of bounds, `ok` is false and all further numbers read as zero.
 class NumberReader {
  public:
   explicit NumberReader(const Json& flat) : flat_(flat) {
@@ -164,7 +167,7 @@
  private:
   const Json& flat_;
   size_t next_ = 0;
-  PoolId pool_ = 0;  // of the last flow read
+  PoolId pool_ = 0;  // of the last flow taken
   bool ok_ = true;
 };
 
@@ -180,7 +183,7 @@
   return lease;
 }
 
-auto TakeReport(NumberReader& in) -> LeaseReport {
+auto TakeLeaseReport(NumberReader& in) -> LeaseReport {
   LeaseReport report;
   report.target = in.Take();
   report.epoch = in.Take();
@@ -199,23 +202,23 @@
   return demand;
 }
 
-auto TakeValue(NumberReader& in) -> FlowValue {
+auto TakeFlowValue(NumberReader& in) -> FlowValue {
   const Flow flow = in.TakeFlow();
   return {flow, in.TakeSigned()};
 }
 
-auto TakeFloor(NumberReader& in) -> SlotKeepLimit {
+auto TakeSlotKeepLimit(NumberReader& in) -> SlotKeepLimit {
   const auto pool = in.Take<PoolId>(UINT16_MAX);
   return {pool, in.TakeSigned()};
 }
 
-auto TakeMember(NumberReader& in) -> MemberNews {
-  MemberNews news;
-  news.box = in.Take();
-  news.incarnation = in.Take();
-  news.heartbeat = in.Take();
-  news.leaving = in.Take(1) != 0;
-  return news;
+auto TakeMemberUpdate(NumberReader& in) -> MemberUpdate {
+  MemberUpdate update;
+  update.box = in.Take();
+  update.incarnation = in.Take();
+  update.heartbeat = in.Take();
+  update.leaving = in.Take(1) != 0;
+  return update;
 }
 
 auto TakeTarget(NumberReader& in) -> TargetId {
@@ -231,23 +234,23 @@
   return load;
 }
 
-auto TakeHome(NumberReader& in) -> PrefixLocation {
+auto TakePrefixLocation(NumberReader& in) -> PrefixLocation {
   const auto prefix = in.Take<PrefixId>();
   return {prefix, in.Take()};
 }
 
 auto TakeSuspicion(NumberReader& in) -> Suspicion {
-  Suspicion row;
-  row.request.workspace = in.Take();
-  row.request.path = in.Take();
-  row.request.body = in.Take();
-  row.cleared = in.Take();
-  row.ends = in.Take();
-  row.age_s = in.Take();
-  return row;
+  Suspicion suspicion;
+  suspicion.request.workspace = in.Take();
+  suspicion.request.path = in.Take();
+  suspicion.request.body = in.Take();
+  suspicion.cleared = in.Take();
+  suspicion.ends = in.Take();
+  suspicion.age_s = in.Take();
+  return suspicion;
 }
 
-// Reads a whole section; false when any of it does not fit.
+// Appends the entries of the section `flat`; false if any of them is malformed.
 template <class T>
 auto ReadSection(const Json& flat,
                  auto (*take)(NumberReader&)->T,
@@ -260,27 +263,28 @@
 
 auto ReadHeader(const Json& body, Datagram* datagram) -> bool {
   Json header = Json::array();
-  header.insert(header.end(), body.begin(), body.begin() + kHeaderNumbers);
+  header.insert(header.end(), body.begin(), body.begin() + kHeaderNumberCount);
   NumberReader in(header);
-  in.Take<int64_t>();  // the version, read before
-  datagram->kind = static_cast<DatagramKind>(in.Take(kMostKind));
-  datagram->sum.part = in.Take(kMostParts - 1);
-  datagram->sum.parts = in.Take(kMostParts);
-  datagram->sum.boxes = in.Take();
+  in.Take<int64_t>();  // the version, checked by the caller
+  datagram->kind = static_cast<DatagramKind>(in.Take(kMaxKind));
+  datagram->aggregate_header.part = in.Take(kMaxParts - 1);
+  datagram->aggregate_header.parts = in.Take(kMaxParts);
+  datagram->aggregate_header.boxes = in.Take();
   datagram->sender = in.Take();
   datagram->incarnation = in.Take();
   datagram->sequence = in.Take();
   datagram->heartbeat = in.Take();
   datagram->leaving = in.Take(1) != 0;
   datagram->config_offset = in.Take<int64_t>(kMaxValue);
-  datagram->directory = in.Take();
+  datagram->directory_digest = in.Take();
   datagram->directory_age_ms = in.Take();
   datagram->store_since_ms = in.Take();
   datagram->store_until_ms = in.Take();
-  return in.ok() && datagram->sum.part < datagram->sum.parts;
+  return in.ok() &&
+         datagram->aggregate_header.part < datagram->aggregate_header.parts;
 }
 
-// Nothing: the bytes are no datagram of any version.
+// The wire version; nothing if `body` is not a datagram of any version.
 auto VersionOf(const Json& body) -> std::optional<int64_t> {
   if (!body.is_array() || body.empty() || !body[0].is_number_integer())
     return std::nullopt;
@@ -291,33 +295,34 @@
 
 auto EncodeDatagram(const Datagram& datagram, std::string_view key)
     -> std::string {
-  const Json body = Json::array({kWireVersion,
-                                 static_cast<uint32_t>(datagram.kind),
-                                 datagram.sum.part,
-                                 datagram.sum.parts,
-                                 datagram.sum.boxes,
-                                 datagram.sender,
-                                 datagram.incarnation,
-                                 datagram.sequence,
-                                 datagram.heartbeat,
-                                 datagram.leaving ? 1 : 0,
-                                 datagram.config_offset,
-                                 datagram.directory,
-                                 datagram.directory_age_ms,
-                                 datagram.store_since_ms,
-                                 datagram.store_until_ms,
-                                 EncodeLeases(datagram.leases),
-                                 EncodeReports(datagram.reports),
-                                 EncodeDemands(datagram.demands),
-                                 EncodeValues(datagram.services),
-                                 EncodeValues(datagram.min_services),
-                                 EncodeFloors(datagram.floors),
-                                 EncodeMembers(datagram.members),
-                                 Json(datagram.leaving_targets),
-                                 EncodeLoads(datagram.loads),
-                                 EncodeHomes(datagram.homes),
-                                 EncodeValues(datagram.denials),
-                                 EncodeSuspicions(datagram.suspicions)});
+  const Json body =
+      Json::array({kWireVersion,
+                   static_cast<uint32_t>(datagram.kind),
+                   datagram.aggregate_header.part,
+                   datagram.aggregate_header.parts,
+                   datagram.aggregate_header.boxes,
+                   datagram.sender,
+                   datagram.incarnation,
+                   datagram.sequence,
+                   datagram.heartbeat,
+                   datagram.leaving ? 1 : 0,
+                   datagram.config_offset,
+                   datagram.directory_digest,
+                   datagram.directory_age_ms,
+                   datagram.store_since_ms,
+                   datagram.store_until_ms,
+                   EncodeLeases(datagram.leases),
+                   EncodeLeaseReports(datagram.lease_reports),
+                   EncodeDemands(datagram.demands),
+                   EncodeFlowValues(datagram.services),
+                   EncodeFlowValues(datagram.min_services),
+                   EncodeSlotKeepLimits(datagram.slot_keep_limits),
+                   EncodeMembers(datagram.members),
+                   Json(datagram.leaving_targets),
+                   EncodeLoads(datagram.loads),
+                   EncodePrefixLocations(datagram.prefix_locations),
+                   EncodeFlowValues(datagram.denials),
+                   EncodeSuspicions(datagram.suspicions)});
   std::string packed;
   Json::to_msgpack(body, packed);
   return HmacTag(key, packed, kTagBytes) + packed;
@@ -326,37 +331,44 @@
 auto DecodeDatagram(std::string_view bytes, std::string_view key)
     -> Result<Datagram> {
   if (bytes.size() < kTagBytes || bytes.size() > kMaxDatagramBytes)
-    return MakeError(Errc::kMalformed, "datagram of a wrong size");
+    return MakeError(Errc::kMalformed, "datagram is too short or too long");
   const std::string_view packed = bytes.substr(kTagBytes);
   if (!ConstantTimeEqual(bytes.substr(0, kTagBytes),
                          HmacTag(key, packed, kTagBytes)))
-    return MakeError(Errc::kUnauthorised, "datagram with a wrong tag");
+    return MakeError(Errc::kUnauthorised,
+                     "datagram tag does not match the peer key");
   const Json body = Json::from_msgpack(packed, /*strict=*/true,
                                        /*allow_exceptions=*/false);
   const std::optional<int64_t> version = VersionOf(body);
   if (version && *version != kWireVersion)
-    return MakeError(Errc::kUnsupported,
-                     "datagram of version " + std::to_string(*version));
-  if (!version || body.size() != kHeaderNumbers + kSections)
-    return MakeError(Errc::kMalformed, "datagram of a wrong shape");
+    return MakeError(
+        Errc::kUnsupported,
+        "datagram has unsupported wire version " + std::to_string(*version));
+  if (!version || body.size() != kHeaderNumberCount + kSectionCount)
+    return MakeError(Errc::kMalformed,
+                     "datagram body is not an array of the expected "
+                     "length");
   Datagram datagram;
-  size_t section = kHeaderNumbers;
+  size_t section = kHeaderNumberCount;
   const bool ok =
       ReadHeader(body, &datagram) &&
       ReadSection(body[section++], TakeLease, &datagram.leases) &&
-      ReadSection(body[section++], TakeReport, &datagram.reports) &&
+      ReadSection(body[section++], TakeLeaseReport, &datagram.lease_reports) &&
       ReadSection(body[section++], TakeDemand, &datagram.demands) &&
-      ReadSection(body[section++], TakeValue, &datagram.services) &&
-      ReadSection(body[section++], TakeValue, &datagram.min_services) &&
-      ReadSection(body[section++], TakeFloor, &datagram.floors) &&
-      ReadSection(body[section++], TakeMember, &datagram.members) &&
+      ReadSection(body[section++], TakeFlowValue, &datagram.services) &&
+      ReadSection(body[section++], TakeFlowValue, &datagram.min_services) &&
+      ReadSection(body[section++], TakeSlotKeepLimit,
+                  &datagram.slot_keep_limits) &&
+      ReadSection(body[section++], TakeMemberUpdate, &datagram.members) &&
       ReadSection(body[section++], TakeTarget, &datagram.leaving_targets) &&
       ReadSection(body[section++], TakeLoad, &datagram.loads) &&
-      ReadSection(body[section++], TakeHome, &datagram.homes) &&
-      ReadSection(body[section++], TakeValue, &datagram.denials) &&
+      ReadSection(body[section++], TakePrefixLocation,
+                  &datagram.prefix_locations) &&
+      ReadSection(body[section++], TakeFlowValue, &datagram.denials) &&
       ReadSection(body[section++], TakeSuspicion, &datagram.suspicions);
   if (!ok)
-    return MakeError(Errc::kMalformed, "datagram with a wrong number");
+    return MakeError(Errc::kMalformed,
+                     "datagram field is missing or out of range");
   return datagram;
 }
 
--- a/sparbend/core/messages_test.cc
+++ b/sparbend/core/messages_test.cc
@@ -25,16 +25,18 @@
 auto AnyDatagram() -> Datagram {
   Datagram datagram;
   datagram.kind = static_cast<DatagramKind>(*rc::gen::inRange<uint32_t>(0, 3));
-  datagram.sum.parts = *rc::gen::inRange<uint32_t>(1, kMostParts + 1);
-  datagram.sum.part = *rc::gen::inRange<uint32_t>(0, datagram.sum.parts);
-  datagram.sum.boxes = *rc::gen::arbitrary<uint32_t>();
+  datagram.aggregate_header.parts =
+      *rc::gen::inRange<uint32_t>(1, kMaxParts + 1);
+  datagram.aggregate_header.part =
+      *rc::gen::inRange<uint32_t>(0, datagram.aggregate_header.parts);
+  datagram.aggregate_header.boxes = *rc::gen::arbitrary<uint32_t>();
   datagram.sender = *rc::gen::arbitrary<BoxId>();
   datagram.incarnation = *rc::gen::arbitrary<uint32_t>();
   datagram.sequence = *rc::gen::arbitrary<uint32_t>();
   datagram.heartbeat = *rc::gen::arbitrary<uint32_t>();
   datagram.leaving = *rc::gen::arbitrary<bool>();
   datagram.config_offset = *rc::gen::inRange<int64_t>(0, INT32_MAX);
-  datagram.directory = *rc::gen::arbitrary<uint32_t>();
+  datagram.directory_digest = *rc::gen::arbitrary<uint32_t>();
   datagram.directory_age_ms = *rc::gen::arbitrary<uint32_t>();
   datagram.store_since_ms = *rc::gen::arbitrary<uint32_t>();
   datagram.store_until_ms = *rc::gen::arbitrary<uint32_t>();
@@ -52,14 +54,14 @@
   LeaseReport report;
   report.target = *rc::gen::arbitrary<TargetId>();
   report.returned = *rc::gen::arbitrary<uint32_t>();
-  datagram.reports = {report, report};
+  datagram.lease_reports = {report, report};
   Demand demand;
   demand.flow = *AnyFlow();
   demand.queued = *rc::gen::arbitrary<uint32_t>();
   demand.estimate = *rc::gen::inRange<int64_t>(0, 1'000'000);
   datagram.demands = {demand};
-  datagram.floors = {{*rc::gen::inRange<PoolId>(0, 65'535),
-                      *rc::gen::inRange<int64_t>(-1'000, 1'000'000)}};
+  datagram.slot_keep_limits = {{*rc::gen::inRange<PoolId>(0, 65'535),
+                                *rc::gen::inRange<int64_t>(-1'000, 1'000'000)}};
   datagram.members = {{*rc::gen::arbitrary<BoxId>(), 7, 9, true}};
   datagram.leaving_targets = {*rc::gen::arbitrary<TargetId>()};
   Suspicion suspicion;
@@ -75,7 +77,7 @@
 
 TEST_GROUP(Messages){};
 
-TEST(Messages, WhatIsEncodedIsDecoded) {
+TEST(Messages, DecodeReversesEncode) {
   testing::CheckHolds("decode(encode(d)) == d", [] {
     const Datagram datagram = AnyDatagram();
     const Result<Datagram> decoded =
@@ -85,8 +87,8 @@
   });
 }
 
-TEST(Messages, AnyChangedByteIsRefused) {
-  testing::CheckHolds("a changed byte is refused", [] {
+TEST(Messages, AnyChangedByteIsRejected) {
+  testing::CheckHolds("a changed byte is rejected", [] {
     std::string bytes = EncodeDatagram(AnyDatagram(), kKey);
     const auto at = *rc::gen::inRange<size_t>(0, bytes.size());
     bytes[at] = static_cast<char>(bytes[at] ^ *rc::gen::inRange(1, 256));
@@ -94,14 +96,14 @@
   });
 }
 
-TEST(Messages, AnotherKeyIsRefused) {
+TEST(Messages, AnotherKeyIsRejected) {
   const std::string bytes = EncodeDatagram(Datagram(), "some-other-key");
   CHECK(DecodeDatagram(bytes, kKey).error().code == Errc::kUnauthorised);
 }
 
-// A decoder must stand any bytes, also ones that carry a right tag.
-TEST(Messages, FuzzedBodiesAreRefusedOrDecoded) {
-  testing::CheckHolds("no bytes do harm", [] {
+// The decoder must handle any bytes, also with a valid tag.
+TEST(Messages, RandomBodiesAreRejectedOrDecoded) {
+  testing::CheckHolds("random bytes are rejected or decoded", [] {
     const std::string bytes = *rc::gen::arbitrary<std::string>();
     DecodeDatagram(bytes, kKey);
     const std::string tagged = HmacTag(kKey, bytes, 8) + bytes;
@@ -112,9 +114,9 @@
   });
 }
 
-// As a box of another version sends them while a fleet is rolled over.
-TEST(Messages, AnotherVersionIsRefusedByName) {
-  std::string version_four = "\x9c\x04";  // an array of twelve
+// Boxes of two versions exchange datagrams during a rolling update.
+TEST(Messages, AnotherWireVersionIsReported) {
+  std::string version_four = "\x9c\x04";  // array of 12, first element 4
   version_four += std::string(11, '\x01');
   const Result<Datagram> decoded =
       DecodeDatagram(HmacTag(kKey, version_four, 8) + version_four, kKey);
@@ -122,13 +124,13 @@
   STRCMP_CONTAINS("version 4", decoded.error().detail.c_str());
 }
 
-TEST(Messages, WrongShapesAreMalformed) {
+TEST(Messages, BodiesOfTheWrongTypeOrLengthAreMalformed) {
   const std::string bodies[] = {
       "",
       "\x90",              // an empty array
       "\x80",              // a map
-      "\xc1",              // never used in MessagePack
-      "\x9f\x01\x02\x03",  // cut short
+      "\xc1",              // a byte that MessagePack never uses
+      "\x9f\x01\x02\x03",  // an array of 15, truncated after 3
   };
   for (const std::string& body : bodies) {
     const Result<Datagram> decoded =
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -1,13 +1,14 @@
-// One pass of Run: refresh the view of targets if membership changed; let
-// requests expire; bind requests to slots; hear our own allocators (a box
-// talks to itself through the same messages, without bytes); grant; bind
-// again what that freed; then compose what peers must be told.
+// One pass of Run: refreshes the view of targets if the membership changed;
+// expires requests; assigns requests to slots; exchanges messages with the
+// allocator of this box (the same messages as with peers, but not encoded),
+// which grants slots; assigns requests to the slots that were granted; and
+// composes the datagrams for peers.
 //
-// A datagram goes out when something in it frees or asks for capacity (after
-// kFlushDelay, so that what happens together travels together), else when the
-// peer has had none for kHeartbeat. Whatever else changed rides along, up to a
-// bound. Every kRepeat everything that stands is told again, which makes lost
-// datagrams good.
+// Except under kShared, a peer is sent a datagram when a change frees or asks
+// for capacity (after kFlushDelay, so that changes that occur together are sent
+// together), else when it was sent none for kHeartbeatInterval. Other changes
+// are added to a datagram up to a limit. Every kFullReportInterval all entries
+// are sent again, which makes up for lost datagrams.
 #include "sparbend/core/node.h"
 
 #include <algorithm>
@@ -17,21 +18,24 @@
 namespace {
 
 constexpr Millis kFlushDelay = Millis(2);
-constexpr Millis kHeartbeat = Millis(500);
-constexpr Millis kRepeat = Millis(2'000);
-// Far longer than a target that leaves serves on without a record.
-constexpr Millis kLeavingKept = Millis(3'600'000);
-constexpr Millis kSuspicionPause = Millis(1'000);
-constexpr Millis kTick = Millis(50);
+constexpr Millis kHeartbeatInterval = Millis(500);
+constexpr Millis kFullReportInterval = Millis(2'000);
+// Far longer than a leaving target continues to serve without a record.
+constexpr Millis kLeavingRetention = Millis(3'600'000);
+// Between immediate sends of first suspicions.
+constexpr Millis kMinSuspicionInterval = Millis(1'000);
+constexpr Millis kTickInterval = Millis(50);
 // From the decision to send a request to its arrival at the target.
-constexpr Millis kOnTheWay = Millis(300);
-// Ages of the store's answers are told up to this one, which says enough.
-constexpr Millis kLongestContactAge = Millis(60'000);
+constexpr Millis kMaxSendDelay = Millis(300);
+// Ages of the store's answers are sent up to this one: no receiver needs to
+// tell larger ones apart.
+constexpr Millis kMaxStoreAge = Millis(60'000);
+// Most entries of a section in one datagram.
 constexpr size_t kServicesPerFlush = 3;
-constexpr size_t kServicesPerRepeat = 16;
-constexpr size_t kLiftsPerDatagram = 4;
-constexpr size_t kRefreshPerRepeat = 2;
-constexpr size_t kNewsPerRepeat = 2;
+constexpr size_t kServicesPerFullReport = 16;
+constexpr size_t kMinServicesPerDatagram = 4;
+constexpr size_t kResentServicesPerFullReport = 2;
+constexpr size_t kUpdatesPerFullReport = 2;
 
 auto ToValues(const std::vector<std::pair<Flow, int64_t>>& entries)
     -> std::vector<FlowValue> {
@@ -46,19 +50,23 @@
 Node::Node(NodeOptions options)
     : options_(std::move(options)),
       members_(options_.name, options_.incarnation),
-      ledger_(members_.self()),
-      entry_(&ledger_, options_.policy, options_.queue_limits, options_.hall),
-      allocators_(
-          &ledger_,
+      service_counters_(members_.self()),
+      ingress_(&service_counters_,
+               options_.policy,
+               options_.queue_limits,
+               options_.hall),
+      slot_allocator_(
+          &service_counters_,
           [this](Flow flow, const std::string& hall) {
-            return entry_.Permitted(flow, hall);
+            return ingress_.Permitted(flow, hall);
           },
           static_cast<uint32_t>(
               StableHash(options_.name + std::to_string(options_.incarnation)) &
               0xffff)),
-      exchange_(options_.name, options_.hall, &members_, &entry_),
-      leaving_targets_(options_.target_ids_reused ? Millis(0) : kLeavingKept) {
-  entry_.placement().SetSeed(members_.self());
+      load_report_exchange_(options_.name, options_.hall, &members_, &ingress_),
+      leaving_targets_(options_.target_ids_reused ? Millis(0)
+                                                  : kLeavingRetention) {
+  ingress_.placement().SetSeed(members_.self());
 }
 
 void Node::SetList(const MemberList& list, Millis now) {
@@ -84,85 +92,86 @@
   std::vector<BoxId> boxes;
   for (const BoxEntry& box : list.boxes)
     boxes.push_back(BoxIdOf(box.name));
-  entry_.placement().SetBoxes(members_.self(), std::move(boxes));
+  ingress_.placement().SetBoxes(members_.self(), std::move(boxes));
   targets_changed_ = true;
   RefreshTargets(now);
   for (const auto& [id, target] : targets_) {
     if (target.cold_left > Millis(0))
-      entry_.placement().SetCold(id, now + target.cold_left);
+      ingress_.placement().SetCold(id, now + target.cold_left);
   }
 }
 
 void Node::SetCatalog(std::shared_ptr<const Catalog> catalog) {
-  entry_.SetCatalog(std::move(catalog));
+  ingress_.SetCatalog(std::move(catalog));
 }
 
 void Node::SetConfigOffset(int64_t offset) {
-  const bool first = offset > HighestOffset().first;
+  const bool is_newest = offset > HighestOffset().first;
   config_offset_ = offset;
-  if (first)
-    MakeUrgent(Urgency::kFleet);
+  if (is_newest)
+    RequestImmediateSend(ImmediateSend::kFleet);
 }
 
-void Node::MakeUrgent(Urgency urgency) {
-  urgency_ = std::max(urgency_, urgency);
+void Node::RequestImmediateSend(ImmediateSend scope) {
+  immediate_send_ = std::max(immediate_send_, scope);
   for (auto& [box, peer] : peers_)
-    peer.urgent = true;
+    peer.immediate = true;
 }
 
 auto Node::AddLeaving(TargetId target) -> bool {
-  const bool news = leaving_targets_.Add(target) && targets_.contains(target);
-  targets_changed_ = targets_changed_ || news;
-  return news;
+  const bool is_new = leaving_targets_.Add(target) && targets_.contains(target);
+  targets_changed_ = targets_changed_ || is_new;
+  return is_new;
 }
 
 auto Node::OnTargetLeaving(TargetId target) -> bool {
-  const bool news = AddLeaving(target);
-  if (news)
-    MakeUrgent(Urgency::kFleet);
-  return news;
+  const bool is_new = AddLeaving(target);
+  if (is_new)
+    RequestImmediateSend(ImmediateSend::kFleet);
+  return is_new;
 }
 
-void Node::SetReadsStore(bool reads) {
-  if (reads == reads_store_)
+void Node::SetStoreReachable(bool reachable) {
+  if (reachable == store_reachable_)
     return;
-  reads_store_ = reads;
-  MakeUrgent(Urgency::kHall);
+  store_reachable_ = reachable;
+  RequestImmediateSend(ImmediateSend::kHall);
 }
 
 void Node::OnStoreAnswered(Millis now) {
-  store_contact_.OnAnswered(now);
-  SetReadsStore(true);
+  store_availability_.OnAnswered(now);
+  SetStoreReachable(true);
 }
 
 void Node::OnStoreFailed(Millis sent) {
-  store_contact_.OnFailed(sent);
-  SetReadsStore(false);
+  store_availability_.OnFailed(sent);
+  SetStoreReachable(false);
 }
 
-void Node::HearStoreContact(const Datagram& datagram, Millis now) {
+void Node::ApplyStoreAvailability(const Datagram& datagram, Millis now) {
   if (datagram.store_since_ms == UINT32_MAX ||
       datagram.store_until_ms > datagram.store_since_ms)
     return;
-  store_contact_.OnPeerSpan({now - Millis(datagram.store_since_ms),
-                             now - Millis(datagram.store_until_ms)});
+  store_availability_.OnPeerSpan({now - Millis(datagram.store_since_ms),
+                                  now - Millis(datagram.store_until_ms)});
 }
 
-void Node::TellStoreContact(Datagram* datagram, Millis now) const {
-  const std::optional<AnsweredSpan>& span = store_contact_.span();
-  if (!span || now - span->until > kLongestContactAge)
+void Node::AddStoreAvailability(Datagram* datagram, Millis now) const {
+  const std::optional<AnsweredSpan>& span = store_availability_.span();
+  if (!span || now - span->until > kMaxStoreAge)
     return;
   const auto age = [&](Millis at) {
-    const Millis bounded = std::clamp(now - at, Millis(0), kLongestContactAge);
+    const Millis bounded = std::clamp(now - at, Millis(0), kMaxStoreAge);
     return static_cast<uint32_t>(bounded.count());
   };
   datagram->store_since_ms = age(span->since);
   datagram->store_until_ms = age(span->until);
 }
 
-// A box that was not heard yet counts as able: it may just have started.
+// A box from which no datagram was received counts as eligible: it may just
+// have started.
 auto Node::IsStoreReader(Millis now) const -> bool {
-  return reads_store_ &&
+  return store_reachable_ &&
          members_.HasRole(kStoreReaderRole, 1, now, [this](BoxId box) {
            const auto peer = peers_.find(box);
            return peer == peers_.end() || peer->second.incarnation == 0 ||
@@ -177,37 +186,39 @@
       std::exchange(evacuated_halls_, std::move(halls));
   targets_changed_ = true;
   RefreshTargets(now);
-  // A hall that is taken back may just have turned cold.
+  // The targets of a hall that is used again may have turned cold meanwhile.
   for (const auto& [id, target] : targets_) {
     if (before.contains(target.hall) && !evacuated_halls_.contains(target.hall))
-      entry_.placement().SuspectCold(id, now);
+      ingress_.placement().SuspectCold(id, now);
   }
 }
 
-// A rack or a cut makes many requests suspects at once, and no request twice:
-// such news waits for the next word when some went out just before, and always
-// in a large fleet, where all boxes at once would tell it to all.
+// A rack failure or a network cut makes many requests suspect at once, but none
+// of them twice. So a first suspicion waits for the next periodic datagram if
+// another was sent shortly before, and always in a large fleet, where all boxes
+// would send to all others at once.
 void Node::OnTargetExit(const Fingerprint& request,
-                        SuspicionVersion stamp,
+                        SuspicionVersion version,
                         Millis now) {
-  if (!quarantine_.OnEnded(request, stamp, now))
+  if (!quarantine_.OnEnded(request, version, now))
     return;
-  const bool again = stamp.ends > 0;
-  const bool large = report_lag() > Millis(0);
-  if (!again && (large || now - suspicion_told_ < kSuspicionPause))
+  const bool repeated = version.ends > 0;
+  const bool large_fleet = report_lag() > Millis(0);
+  if (!repeated &&
+      (large_fleet || now - suspicion_sent_at_ < kMinSuspicionInterval))
     return;
-  suspicion_told_ = now;
-  MakeUrgent(Urgency::kFleet);
+  suspicion_sent_at_ = now;
+  RequestImmediateSend(ImmediateSend::kFleet);
 }
 
 void Node::Leave() {
   members_.LeaveSelf();
   targets_changed_ = true;
-  MakeUrgent(Urgency::kHall);
+  RequestImmediateSend(ImmediateSend::kHall);
 }
 
 auto Node::Enqueue(const QueuedRequest& request) -> std::optional<Refusal> {
-  return entry_.Enqueue(request);
+  return ingress_.Enqueue(request);
 }
 
 auto Node::FindTarget(TargetId target) const -> const TargetEntry* {
@@ -222,47 +233,48 @@
 }
 
 void Node::RefreshTargets(Millis now) {
-  if (!targets_changed_ && now - liveness_seen_ < kTick)
+  if (!targets_changed_ && now - liveness_checked_at_ < kTickInterval)
     return;
-  liveness_seen_ = now;
+  liveness_checked_at_ = now;
   std::vector<BoxId> live = members_.LiveBoxes(now);
   if (live == live_ && !targets_changed_)
     return;
   live_ = std::move(live);
-  entry_.SetBoxCount(std::max<int>(1, static_cast<int>(live_boxes())));
-  // Which boxes live says nothing of targets where nobody allocates them.
+  ingress_.SetBoxCount(std::max<int>(1, static_cast<int>(live_boxes())));
+  // Under kShared targets have no allocator, so the set of live boxes does not
+  // matter for them.
   if (options_.policy == Policy::kShared && !targets_changed_)
     return;
   targets_changed_ = false;
-  std::vector<IngressScheduler::TargetAssignment> all;
-  std::vector<TargetView> duties;
+  std::vector<IngressScheduler::TargetAssignment> assignments;
+  std::vector<TargetView> assigned;
   for (const auto& [id, target] : targets_) {
     const bool closed =
         TargetLeaving(id) || evacuated_halls_.contains(target.hall);
     const TargetView view = {id,           target.name,
                              target.hall,  pools_.at(target.pool),
                              target.slots, closed};
-    // Nobody allocates under kShared; to find out who would costs targets times
-    // boxes with each box that comes or goes.
+    // Not computed under kShared, which has no allocators: it takes O(targets *
+    // boxes) each time that a box comes or goes.
     std::optional<BoxId> allocator;
     if (options_.policy != Policy::kShared)
       allocator = members_.AllocatorOf(id, target.hall, now);
-    all.push_back({view, allocator});
+    assignments.push_back({view, allocator});
     if (allocator == members_.self())
-      duties.push_back(view);
+      assigned.push_back(view);
   }
-  entry_.SetTargets(all);
-  allocators_.SetLiveBoxes({live_.begin(), live_.end()});
-  allocators_.SetAssignedTargets(duties, now);
+  ingress_.SetTargets(assignments);
+  slot_allocator_.SetLiveBoxes({live_.begin(), live_.end()});
+  slot_allocator_.SetAssignedTargets(assigned, now);
 }
 
 auto Node::ListOutOfDate(Millis now) const -> bool {
   return options_.target_drain > Millis(0) && directory_read_at_ &&
-         now - *directory_read_at_ > options_.target_drain - kOnTheWay &&
-         store_contact_.AnsweredSince(*directory_read_at_);
+         now - *directory_read_at_ > options_.target_drain - kMaxSendDelay &&
+         store_availability_.AnsweredSince(*directory_read_at_);
 }
 
-auto Node::OnDatagram(std::string_view bytes, Millis now, Millis waited)
+auto Node::OnDatagram(std::string_view bytes, Millis now, Millis queue_delay)
     -> std::error_code {
   const Result<Datagram> datagram = DecodeDatagram(bytes, options_.peer_key);
   if (!datagram)
@@ -275,114 +287,120 @@
     return Errc::kRefused;
   if (datagram->incarnation > peer.incarnation) {
     peer.incarnation = datagram->incarnation;
-    peer.received = 0;
-    peer.services.Reset();
-    peer.min_services.Reset();
-    allocators_.OnRestart(datagram->sender);
-    entry_.OnRestart(datagram->sender);
-    exchange_.OnRestart(datagram->sender);
+    peer.last_sequence_received = 0;
+    peer.service_cursor.Reset();
+    peer.min_service_cursor.Reset();
+    slot_allocator_.OnRestart(datagram->sender);
+    ingress_.OnRestart(datagram->sender);
+    load_report_exchange_.OnRestart(datagram->sender);
   }
-  // Parts of one word or sum have the same sequence; AggregateAssembler takes
-  // each once.
-  const bool parts = datagram->sum.parts > 1;
-  if (datagram->sequence < peer.received ||
-      (datagram->sequence == peer.received && !parts))
+  // The parts of a load report or aggregate have the same sequence number;
+  // AggregateAssembler drops repeated parts.
+  const bool has_parts = datagram->aggregate_header.parts > 1;
+  if (datagram->sequence < peer.last_sequence_received ||
+      (datagram->sequence == peer.last_sequence_received && !has_parts))
     return Errc::kRefused;
-  peer.received = datagram->sequence;
+  peer.last_sequence_received = datagram->sequence;
   peer.config_offset = std::max(peer.config_offset, datagram->config_offset);
-  peer.directory = datagram->directory;
+  peer.directory_digest = datagram->directory_digest;
   if (datagram->directory_age_ms == UINT32_MAX)
     peer.directory_read_at.reset();
   else
-    peer.directory_read_at = now - waited - Millis(datagram->directory_age_ms);
-  HearStoreContact(*datagram, now - waited);
-  TakeDatagram(*datagram, now);
-  return options_.policy == Policy::kShared ? exchange_.Take(*datagram, now)
-                                            : std::error_code();
+    peer.directory_read_at =
+        now - queue_delay - Millis(datagram->directory_age_ms);
+  ApplyStoreAvailability(*datagram, now - queue_delay);
+  ApplyDatagram(*datagram, now);
+  return options_.policy == Policy::kShared
+             ? load_report_exchange_.OnDatagram(*datagram, now)
+             : std::error_code();
 }
 
-void Node::TakeDatagram(const Datagram& datagram, Millis now) {
+void Node::ApplyDatagram(const Datagram& datagram, Millis now) {
   const BoxId from = datagram.sender;
-  ledger_.Advance(now);
+  service_counters_.Advance(now);
   members_.OnMemberNews(
       {from, datagram.incarnation, datagram.heartbeat, datagram.leaving}, now);
-  for (const MemberNews& news : datagram.members)
-    members_.OnMemberNews(news, now);
-  // Who found it told all at once; here it rides along with the next word, for
-  // those that the finder does not reach. Told on at once by all it took boxes
-  // squared datagrams a target, and boxes fell behind for two seconds when 35
-  // targets of 140 were replaced.
+  for (const MemberUpdate& update : datagram.members)
+    members_.OnMemberNews(update, now);
+  // The box that found a target to be leaving sent that to all boxes
+  // immediately. This box passes it on only with its next periodic datagram,
+  // for boxes that the finder does not reach. If all boxes passed it on
+  // immediately, each target would cost O(boxes^2) datagrams; when a quarter
+  // of the targets of a large fleet were replaced, that overloaded boxes for
+  // seconds.
   for (const TargetId target : datagram.leaving_targets)
     AddLeaving(target);
   quarantine_.UpdateFromPeer(datagram.suspicions, now);
   RefreshTargets(now);
   if (options_.policy != Policy::kShared) {
     for (const FlowValue& service : datagram.services)
-      ledger_.UpdateFromPeer(from, service.flow, service.value);
+      service_counters_.UpdateFromPeer(from, service.flow, service.value);
   }
-  for (const FlowValue& lift : datagram.min_services)
-    ledger_.RaiseMinService(lift.flow, lift.value);
-  for (const LeaseReport& report : datagram.reports)
-    allocators_.OnReport(from, report);
+  for (const FlowValue& min_service : datagram.min_services)
+    service_counters_.RaiseMinService(min_service.flow, min_service.value);
+  for (const LeaseReport& report : datagram.lease_reports)
+    slot_allocator_.OnReport(from, report);
   for (const Demand& demand : datagram.demands)
-    allocators_.OnDemand(from, demand, now);
-  entry_.RenewLeases(from, now);
-  entry_.OnFloors(from, datagram.floors);
+    slot_allocator_.OnDemand(from, demand, now);
+  ingress_.RenewLeases(from, now);
+  ingress_.OnFloors(from, datagram.slot_keep_limits);
   for (const LeaseNotice& lease : datagram.leases)
-    entry_.OnNotice(from, lease, now);
+    ingress_.OnNotice(from, lease, now);
 }
 
-void Node::TalkToSelf(Millis now) {
+void Node::RunOwnAllocator(Millis now) {
   const BoxId self = members_.self();
-  for (const LeaseReport& report : entry_.Reports(self, false))
-    allocators_.OnReport(self, report);
-  for (const Demand& demand : entry_.Demands(self, false))
-    allocators_.OnDemand(self, demand, now);
-  allocators_.Run(now);
-  entry_.RenewLeases(self, now);
-  entry_.OnFloors(self, allocators_.Floors());
-  for (const LeaseNotice& lease : allocators_.Notices(self, false))
-    entry_.OnNotice(self, lease, now);
+  for (const LeaseReport& report : ingress_.Reports(self, false))
+    slot_allocator_.OnReport(self, report);
+  for (const Demand& demand : ingress_.Demands(self, false))
+    slot_allocator_.OnDemand(self, demand, now);
+  slot_allocator_.Run(now);
+  ingress_.RenewLeases(self, now);
+  ingress_.OnFloors(self, slot_allocator_.Floors());
+  for (const LeaseNotice& lease : slot_allocator_.Notices(self, false))
+    ingress_.OnNotice(self, lease, now);
 }
 
 auto Node::Run(Millis now) -> Effects {
   Effects effects;
-  ledger_.Advance(now);
+  service_counters_.Advance(now);
   RefreshTargets(now);
-  if (now - last_heartbeat_ >= kHeartbeat) {
+  if (now - last_heartbeat_ >= kHeartbeatInterval) {
     last_heartbeat_ = now;
     ++heartbeat_;
   }
-  for (const RequestId id : entry_.TakeExpired(now))
+  for (const RequestId id : ingress_.TakeExpired(now))
     effects.refusals.emplace_back(
-        id, Refusal{503, Verdict::kNotRun,
-                    "no capacity within the time this workspace waits",
-                    Millis(1'000)});
-  for (auto& refusal : entry_.TakeShed(now))
+        id,
+        Refusal{503, Verdict::kNotRun,
+                "no capacity within the maximum wait time of this workspace",
+                Millis(1'000)});
+  for (auto& refusal : ingress_.TakeShed(now))
     effects.refusals.push_back(std::move(refusal));
-  for (auto& refusal : entry_.TakeUnservable(now))
+  for (auto& refusal : ingress_.TakeUnservable(now))
     effects.refusals.push_back(std::move(refusal));
-  effects.dispatches = entry_.Schedule(now);
+  effects.dispatches = ingress_.Schedule(now);
   if (options_.policy != Policy::kIndependent &&
       options_.policy != Policy::kShared) {
-    entry_.UpdateDemand(now);
-    TalkToSelf(now);
-    const std::vector<Dispatch> more = entry_.Schedule(now);
-    if (!more.empty())
-      entry_.UpdateDemand(now);
-    effects.dispatches.insert(effects.dispatches.end(), more.begin(),
-                              more.end());
+    ingress_.UpdateDemand(now);
+    RunOwnAllocator(now);
+    const std::vector<Dispatch> after_grants = ingress_.Schedule(now);
+    if (!after_grants.empty())
+      ingress_.UpdateDemand(now);
+    effects.dispatches.insert(effects.dispatches.end(), after_grants.begin(),
+                              after_grants.end());
   }
-  TalkToPeers(now, &effects);
+  SendToPeers(now, &effects);
   return effects;
 }
 
-// All that a message goes to get the same bytes: composing them for each would
-// grow with the square of the fleet.
-void Node::TalkByWords(Millis now, Effects* effects) {
-  const Urgency urgency = std::exchange(urgency_, Urgency::kNone);
+// All receivers of a message get the same bytes: to encode them for each
+// receiver would take O(boxes^2) in the fleet.
+void Node::SendLoadReports(Millis now, Effects* effects) {
+  const ImmediateSend scope =
+      std::exchange(immediate_send_, ImmediateSend::kNone);
   for (const LoadReportExchange::Message& message :
-       exchange_.DueMessages(Head(now), urgency, now)) {
+       load_report_exchange_.DueMessages(MakeHeader(now), scope, now)) {
     const std::string bytes =
         EncodeDatagram(message.datagram, options_.peer_key);
     for (const BoxId box : message.to)
@@ -390,110 +408,114 @@
   }
 }
 
-void Node::TalkToPeers(Millis now, Effects* effects) {
+void Node::SendToPeers(Millis now, Effects* effects) {
   if (options_.policy == Policy::kShared) {
-    TalkByWords(now, effects);
+    SendLoadReports(now, effects);
     return;
   }
   for (auto& [box, peer] : peers_) {
-    const bool urgent =
-        peer.urgent || entry_.Urgent(box) || allocators_.Urgent(box);
-    if (urgent && peer.urgent_since == Millis(0))
-      peer.urgent_since = now;
-    const bool flush = urgent && now - peer.urgent_since >= kFlushDelay;
-    if (!flush && now - peer.last_sent < kHeartbeat)
+    const bool immediate =
+        peer.immediate || ingress_.Urgent(box) || slot_allocator_.Urgent(box);
+    if (immediate && peer.immediate_since == Millis(0))
+      peer.immediate_since = now;
+    const bool flush = immediate && now - peer.immediate_since >= kFlushDelay;
+    if (!flush && now - peer.last_sent_at < kHeartbeatInterval)
       continue;
-    const bool whole = now - peer.last_whole >= kRepeat;
-    const Datagram datagram = Compose(box, &peer, whole, now);
+    const bool full = now - peer.last_full_at >= kFullReportInterval;
+    const Datagram datagram = MakeDatagram(box, &peer, full, now);
     effects->datagrams.push_back(
         {box, EncodeDatagram(datagram, options_.peer_key)});
-    peer.last_sent = now;
-    if (whole)
-      peer.last_whole = now;
-    peer.urgent_since = Millis(0);
-    peer.urgent = false;
+    peer.last_sent_at = now;
+    if (full)
+      peer.last_full_at = now;
+    peer.immediate_since = Millis(0);
+    peer.immediate = false;
   }
 }
 
-auto Node::Head(Millis now) -> Datagram {
+auto Node::MakeHeader(Millis now) -> Datagram {
   Datagram datagram;
   datagram.sender = members_.self();
   datagram.incarnation = members_.incarnation();
   datagram.heartbeat = heartbeat_;
   datagram.leaving = members_.leaving();
   datagram.config_offset = config_offset_;
-  datagram.directory = directory_;
-  // Nothing told of the list says that this box does not reach the store.
-  if (directory_read_at_ && reads_store_)
+  datagram.directory_digest = directory_digest_;
+  // Without an age of the list, peers know that this box does not reach the
+  // store.
+  if (directory_read_at_ && store_reachable_)
     datagram.directory_age_ms = static_cast<uint32_t>(std::clamp<int64_t>(
         (now - *directory_read_at_).count(), 0, UINT32_MAX - 1));
-  TellStoreContact(&datagram, now);
+  AddStoreAvailability(&datagram, now);
   datagram.leaving_targets = leaving_targets_.Listed();
   datagram.suspicions = quarantine_.RowsToReport(now);
   return datagram;
 }
 
-auto Node::Compose(BoxId to, Peer* peer, bool whole, Millis now) -> Datagram {
-  Datagram datagram = Head(now);
-  datagram.sequence = ++peer->sent;
+auto Node::MakeDatagram(BoxId to, Peer* peer, bool full, Millis now)
+    -> Datagram {
+  Datagram datagram = MakeHeader(now);
+  datagram.sequence = ++peer->last_sequence_sent;
   if (options_.policy == Policy::kIndependent)
     return datagram;
-  datagram.leases = allocators_.Notices(to, whole);
-  datagram.floors = allocators_.Floors();
-  datagram.reports = entry_.Reports(to, whole);
-  datagram.demands = entry_.Demands(to, whole);
-  const size_t refresh = whole ? kRefreshPerRepeat : 0;
-  datagram.services = ToValues(peer->services.Next(
-      ledger_.own(), whole ? kServicesPerRepeat : kServicesPerFlush, refresh));
-  datagram.min_services = ToValues(peer->min_services.Next(
-      ledger_.min_services(), kLiftsPerDatagram, whole ? 1 : 0));
-  if (whole)
-    datagram.members = members_.NextNews(kNewsPerRepeat);
+  datagram.leases = slot_allocator_.Notices(to, full);
+  datagram.slot_keep_limits = slot_allocator_.Floors();
+  datagram.lease_reports = ingress_.Reports(to, full);
+  datagram.demands = ingress_.Demands(to, full);
+  const size_t resent = full ? kResentServicesPerFullReport : 0;
+  datagram.services = ToValues(peer->service_cursor.Next(
+      service_counters_.own(),
+      full ? kServicesPerFullReport : kServicesPerFlush, resent));
+  datagram.min_services = ToValues(peer->min_service_cursor.Next(
+      service_counters_.min_services(), kMinServicesPerDatagram, full ? 1 : 0));
+  if (full)
+    datagram.members = members_.NextUpdates(kUpdatesPerFullReport);
   return datagram;
 }
 
 auto Node::NextWake(Millis now) const -> Millis {
-  Millis wake = now + kTick;
+  Millis wake = now + kTickInterval;
   if (options_.policy == Policy::kShared)
     return wake;
   for (const auto& [box, peer] : peers_) {
-    if (peer.urgent_since != Millis(0))
-      wake = std::min(wake, peer.urgent_since + kFlushDelay);
+    if (peer.immediate_since != Millis(0))
+      wake = std::min(wake, peer.immediate_since + kFlushDelay);
   }
   return std::max(wake, now + Millis(1));
 }
 
 void Node::SetDirectory(uint32_t digest, Millis read_at) {
-  // Who has it from somebody need not tell it at once as well. Each hall reads
-  // for itself.
-  const bool news = digest != directory_ &&
-                    std::ranges::none_of(peers_, [&](const auto& peer) {
-                      const BoxEntry* box = members_.Find(peer.first);
-                      return peer.second.directory == digest &&
-                             box != nullptr && box->hall == options_.hall;
-                    });
-  directory_ = digest;
+  // No immediate send if a peer of this hall has reported the same list. Halls
+  // are independent here, since each reads the store for itself.
+  const bool is_new = digest != directory_digest_ &&
+                      std::ranges::none_of(peers_, [&](const auto& peer) {
+                        const BoxEntry* box = members_.Find(peer.first);
+                        return peer.second.directory_digest == digest &&
+                               box != nullptr && box->hall == options_.hall;
+                      });
+  directory_digest_ = digest;
   directory_read_at_ = read_at;
-  if (news)
-    MakeUrgent(Urgency::kHall);
+  if (is_new)
+    RequestImmediateSend(ImmediateSend::kHall);
 }
 
-auto Node::FreshestDirectory(Millis fresh, Millis now) const
+auto Node::FreshestDirectory(Millis max_age, Millis now) const
     -> std::optional<PeerDirectory> {
   std::optional<PeerDirectory> freshest;
-  bool near_found = false;
+  bool local_found = false;
   for (const auto& [box, peer] : peers_) {
     if (!peer.directory_read_at || !members_.IsLive(box, now))
       continue;
     const BoxEntry* entry = members_.Find(box);
-    const bool near = entry != nullptr && entry->hall == options_.hall &&
-                      now - *peer.directory_read_at <= fresh;
-    if (near_found && !near)
+    const bool local = entry != nullptr && entry->hall == options_.hall &&
+                       now - *peer.directory_read_at <= max_age;
+    if (local_found && !local)
       continue;
-    if (!freshest || near != near_found ||
+    if (!freshest || local != local_found ||
         *peer.directory_read_at > freshest->read_at)
-      freshest = PeerDirectory{box, peer.directory, *peer.directory_read_at};
-    near_found = near_found || near;
+      freshest =
+          PeerDirectory{box, peer.directory_digest, *peer.directory_read_at};
+    local_found = local_found || local;
   }
   return freshest;
 }
--- a/sparbend/core/node.h
+++ b/sparbend/core/node.h
@@ -1,12 +1,12 @@
-// One box's whole decision logic: membership, books of service, entry queues,
-// allocator duties and what is told to peers when. Pure: inputs and time go
-// in, dispatches and datagrams come out. The daemon, the fuzzer and the tests
-// drive this same code.
+// The decision logic of one box: membership, service counters, ingress queues,
+// the allocator role for targets, and what is sent to peers and when. Pure:
+// takes inputs and the time, returns dispatches, refusals and datagrams, and
+// does no I/O. The daemon, the fuzzer and the tests run this same code.
 //
 //   Node node(options);
 //   node.SetList(list, now); node.SetCatalog(catalog);
 //   node.Enqueue(request); node.OnDatagram(bytes, now);
-//   Effects effects = node.Run(now);  // after any input, and each tick
+//   Effects effects = node.Run(now);  // after any input, and at NextWake
 #ifndef SPARBEND_CORE_NODE_H_
 #define SPARBEND_CORE_NODE_H_
 
@@ -33,16 +33,17 @@
   std::string name;          // of this box, as the platform lists it
   uint32_t incarnation = 1;  // rises with each start of the box
   std::string hall;
-  std::string peer_key;  // shared by the fleet's boxes
+  std::string peer_key;  // authenticates datagrams; the same for all boxes
   Policy policy = Policy::kHybrid;
   QueueLimits queue_limits;
-  // How long a target serves on after the store has taken that it leaves; zero:
-  // not told, and the list may be as old as it likes.
+  // How long a target continues to serve after the store has recorded that it
+  // is leaving; zero: unknown, and the age of the list is not limited.
   Millis target_drain;
-  // Whether a target that starts again may have the id that it had before.
+  // Whether a restarted target may have the same id as before.
   bool target_ids_reused = true;
 };
 
+// What Run decided, to be carried out by the caller.
 struct Effects {
   std::vector<Dispatch> dispatches;
   std::vector<std::pair<RequestId, Refusal>> refusals;
@@ -59,83 +60,91 @@
   Node(const Node&) = delete;
   auto operator=(const Node&) -> Node& = delete;
 
-  // What the platform and the log say.
+  // Input from the platform and from the configuration log.
   void SetList(const MemberList& list, Millis now);
   void SetCatalog(std::shared_ptr<const Catalog> catalog);
-  // The configuration in force here; told to all at once if no peer was heard
-  // to have it yet.
+  // Sets the offset of the active configuration. Sent to all boxes immediately
+  // if no peer has reported as high an offset.
   void SetConfigOffset(int64_t offset);
-  // The digest of the list of targets, and when it was read at its source. A
-  // new digest is told to the peers at once.
+  // Sets the digest of the list of targets, and when the list was read from its
+  // source. A digest that no peer of the hall has reported is sent to the hall
+  // immediately.
   void SetDirectory(uint32_t digest, Millis read_at);
-  // A call of this box for the list was answered by the platform's store, or
-  // was not. A box that does not reach the store hands the duty to read it for
-  // its hall on, and tells that at once.
+  // A call of this box to the platform's store was answered, or a call sent at
+  // `sent` failed. A box that does not reach the store gives up the role of
+  // reading it for its hall, and sends that to the hall immediately.
   void OnStoreAnswered(Millis now);
   void OnStoreFailed(Millis sent);
-  // Whether this box reads the store for its hall.
+  // Whether this box has the role of reading the store for its hall.
   auto IsStoreReader(Millis now) const -> bool;
   auto store_contact() const -> const StoreAvailability& {
-    return store_contact_;
+    return store_availability_;
   }
-  // Whether the list is so old that a target in it may have left and ended by
-  // now, though the store could be read meanwhile: then nothing may be sent. A
-  // list stands for as long as the store is away.
+  // Whether the list is so old that a target in it may have left and exited,
+  // although the store could be read in the meantime. Then no request may be
+  // sent. While the store is unavailable, the list does not go out of date.
   auto ListOutOfDate(Millis now) const -> bool;
-  // The halls in which no new work is to start, all of them.
+  // Replaces the set of halls in which no new work may start.
   void SetEvacuatedHalls(std::set<std::string> halls, Millis now);
-  // A target was seen to be leaving; spread to the other boxes. True if that is
-  // news.
+  // A target was found to be leaving; sent to all boxes immediately. Returns
+  // whether this was unknown and the target is listed.
   auto OnTargetLeaving(TargetId target) -> bool;
-  // A request sent at `stamp` was at a target when that ended; told to all.
+  // A target exited while it ran `request`, which was sent at `version` of its
+  // suspicion. Reported to all boxes.
   void OnTargetExit(const Fingerprint& request,
-                    SuspicionVersion stamp,
+                    SuspicionVersion version,
                     Millis now);
-  // This box leaves: no duties any more, told to all.
+  // This box is leaving: it gives up its roles and sends that immediately.
   void Leave();
 
-  // What callers and targets do; see Entry.
+  // Input from clients and targets; see IngressScheduler.
   auto Enqueue(const QueuedRequest& request) -> std::optional<Refusal>;
-  auto ingress_scheduler() -> IngressScheduler& { return entry_; }
-  auto entry() const -> const IngressScheduler& { return entry_; }
+  auto ingress_scheduler() -> IngressScheduler& { return ingress_; }
+  auto entry() const -> const IngressScheduler& { return ingress_; }
 
-  // A datagram from outside; any bytes are safe. The error says why it was
-  // not taken. What it tells the age of is older by `waited`, for which it lay
-  // unread.
-  auto OnDatagram(std::string_view bytes, Millis now, Millis waited = Millis(0))
-      -> std::error_code;
+  // Applies a datagram from the network; `bytes` may be anything. The error
+  // says why it was dropped. `queue_delay` is how long it waited unread; ages
+  // stated in it are that much older by now.
+  auto OnDatagram(std::string_view bytes,
+                  Millis now,
+                  Millis queue_delay = Millis(0)) -> std::error_code;
 
-  // Decides all there is to decide now.
+  // Makes all decisions that are due.
   auto Run(Millis now) -> Effects;
-  // When Run should be called next if nothing else happens.
+  // When to call Run next if there is no input before.
   auto NextWake(Millis now) const -> Millis;
 
   auto quarantine() -> Quarantine& { return quarantine_; }
-  auto ledger() -> ServiceCounters& { return ledger_; }
+  auto ledger() -> ServiceCounters& { return service_counters_; }
   auto members() -> Members& { return members_; }
   auto members() const -> const Members& { return members_; }
-  // Boxes that live, as far as is known, this one included.
+  // Number of boxes known to be live, including this one.
   auto live_boxes() const -> size_t {
-    return std::max(live_.size(), exchange_.boxes());
+    return std::max(live_.size(), load_report_exchange_.box_count());
   }
-  // Age of what this box knows of a large fleet's work; see LoadReportExchange.
+  // Age of the fleet aggregate; see LoadReportExchange.
   auto aggregate_age(Millis now) const -> Millis {
-    return exchange_.SumAge(now);
+    return load_report_exchange_.AggregateAge(now);
   }
-  // How much longer news may be on its way than from box to box.
-  auto report_lag() const -> Millis { return exchange_.Lag(); }
-  auto allocators() const -> const SlotAllocator& { return allocators_; }
-  // The list of targets that a live peer read last.
+  // How much longer a report may take than from box to box directly, because it
+  // goes through aggregates.
+  auto report_lag() const -> Millis {
+    return load_report_exchange_.ReportLag();
+  }
+  auto allocators() const -> const SlotAllocator& { return slot_allocator_; }
+  // A live peer's list of targets.
   struct PeerDirectory {
     BoxId box = 0;
     uint32_t digest = 0;
     Millis read_at;
   };
-  // One of this box's hall where any there was read within `fresh`: if all
-  // asked the one box that read last, that box would do nothing else.
-  auto FreshestDirectory(Millis fresh, Millis now) const
+  // The list that was read last among live peers; among those of this box's
+  // hall alone, if any of them was read within `max_age`. If all boxes asked
+  // the one box that read last, that box would do nothing else.
+  auto FreshestDirectory(Millis max_age, Millis now) const
       -> std::optional<PeerDirectory>;
-  // The highest configuration offset heard of, and one box that has it.
+  // The highest configuration offset of this box and its peers, and a box that
+  // has it.
   auto HighestOffset() const -> std::pair<int64_t, BoxId>;
   auto OffsetOf(BoxId box) const -> int64_t;
   auto FindTarget(TargetId target) const -> const TargetEntry*;
@@ -147,60 +156,65 @@
  private:
   struct Peer {
     uint32_t incarnation = 0;
-    uint32_t received = 0;  // highest sequence taken
-    uint32_t sent = 0;
-    Millis last_sent;
-    Millis last_whole;
-    Millis urgent_since;
-    bool urgent = false;  // not under kShared
+    uint32_t last_sequence_received = 0;
+    uint32_t last_sequence_sent = 0;
+    Millis last_sent_at;
+    Millis last_full_at;
+    // Since when an immediate send is pending; zero: none is.
+    Millis immediate_since;
+    // Whether RequestImmediateSend was called; unused under kShared.
+    bool immediate = false;
     int64_t config_offset = 0;
-    uint32_t directory = 0;
+    uint32_t directory_digest = 0;
     // Nothing: it has no list, or does not reach the store.
     std::optional<Millis> directory_read_at;
-    ServiceReportCursor services;
-    ServiceReportCursor min_services;
+    ServiceReportCursor service_cursor;
+    ServiceReportCursor min_service_cursor;
   };
 
-  // True if that is news of a target that is listed.
+  // Returns whether `target` was not known to be leaving and is listed.
   auto AddLeaving(TargetId target) -> bool;
   void RefreshTargets(Millis now);
-  void TakeDatagram(const Datagram& datagram, Millis now);
-  void TalkToSelf(Millis now);
-  void TalkToPeers(Millis now, Effects* effects);
-  void TalkByWords(Millis now, Effects* effects);
-  // News for peers, to be told without waiting for the next word.
-  void MakeUrgent(Urgency urgency);
-  void SetReadsStore(bool reads);
-  void HearStoreContact(const Datagram& datagram, Millis now);
-  void TellStoreContact(Datagram* datagram, Millis now) const;
-  // What is the same in all datagrams of this box.
-  auto Head(Millis now) -> Datagram;
-  auto Compose(BoxId to, Peer* peer, bool whole, Millis now) -> Datagram;
+  void ApplyDatagram(const Datagram& datagram, Millis now);
+  void RunOwnAllocator(Millis now);
+  void SendToPeers(Millis now, Effects* effects);
+  void SendLoadReports(Millis now, Effects* effects);
+  // Requests a send before the next periodic datagram is due: under kShared to
+  // the boxes of `scope`, else to all peers.
+  void RequestImmediateSend(ImmediateSend scope);
+  void SetStoreReachable(bool reachable);
+  void ApplyStoreAvailability(const Datagram& datagram, Millis now);
+  void AddStoreAvailability(Datagram* datagram, Millis now) const;
+  // The fields that are the same in all datagrams of this box.
+  auto MakeHeader(Millis now) -> Datagram;
+  // A datagram for `to`, with all entries if `full`, else with the changes.
+  auto MakeDatagram(BoxId to, Peer* peer, bool full, Millis now) -> Datagram;
 
   NodeOptions options_;
   Members members_;
-  ServiceCounters ledger_;
-  IngressScheduler entry_;
-  SlotAllocator allocators_;
-  LoadReportExchange exchange_;  // under kShared
+  ServiceCounters service_counters_;
+  IngressScheduler ingress_;
+  SlotAllocator slot_allocator_;
+  LoadReportExchange load_report_exchange_;  // under kShared
   Quarantine quarantine_;
-  Millis suspicion_told_{-1'000'000};
-  Urgency urgency_ = Urgency::kNone;
+  Millis suspicion_sent_at_{-1'000'000};
+  // The pending immediate send under kShared; else see Peer::immediate.
+  ImmediateSend immediate_send_ = ImmediateSend::kNone;
   std::map<BoxId, Peer> peers_;
   std::map<TargetId, TargetEntry> targets_;
-  std::map<std::string, PoolId> pools_;  // of targets_
+  std::map<std::string, PoolId> pools_;  // by name, of targets_
   LeavingTargets leaving_targets_;
   std::set<std::string> evacuated_halls_;
   std::vector<BoxId> live_;
-  bool targets_changed_ = true;
-  Millis liveness_seen_{-1'000'000};
+  bool targets_changed_ = true;  // since RefreshTargets took them over
+  Millis liveness_checked_at_{-1'000'000};
   uint32_t heartbeat_ = 0;
   Millis last_heartbeat_;
   int64_t config_offset_ = 0;
-  uint32_t directory_ = 0;
+  uint32_t directory_digest_ = 0;
   std::optional<Millis> directory_read_at_;
-  bool reads_store_ = true;
-  StoreAvailability store_contact_;
+  bool store_reachable_ = true;
+  StoreAvailability store_availability_;
 };
 
 }  // namespace sparbend
--- a/sparbend/core/node_reports_test.cc
+++ b/sparbend/core/node_reports_test.cc
@@ -1,4 +1,4 @@
-// What boxes of the policy kShared tell each other, and when.
+// Which datagrams boxes send to each other under the policy kShared, and when.
 #include <algorithm>
 #include <map>
 
@@ -16,9 +16,9 @@
 
 TEST_GROUP(NodeReports){};
 
-// A box that sends to more targets than a datagram can name: its word comes in
-// parts, and nothing is left out.
-TEST(NodeReports, NameAllTargetsHoweverManyABoxUses) {
+// A box with running requests at more targets than fit into one datagram sends
+// its load report in parts, and no target is missing.
+TEST(NodeReports, NameAllTargetsThatABoxUses) {
   constexpr int kTargets = 300;
   constexpr int kSlots = 64;
   SharedNodes nodes(2, EngineTargets(kTargets, kSlots));
@@ -49,38 +49,39 @@
   CHECK(nodes.at(1).members().IsLive(BoxIdOf("box-0"), nodes.now()));
 }
 
-TEST(NodeReports, TheFirstToHaveAVersionTellsItAtOnce) {
+TEST(NodeReports, TheFirstBoxWithAConfigOffsetSendsItImmediately) {
   SharedNodes nodes(2, {});
   nodes.Step(Millis(1'000));
   nodes.at(0).SetConfigOffset(7);
-  const std::vector<int> spoke = nodes.Step(Millis(1));
-  LONGS_EQUAL(1, spoke.size());
-  LONGS_EQUAL(0, spoke[0]);
+  const std::vector<int> senders = nodes.Step(Millis(1));
+  LONGS_EQUAL(1, senders.size());
+  LONGS_EQUAL(0, senders[0]);
   LONGS_EQUAL(0, nodes.refused());
   LONGS_EQUAL(7, nodes.at(1).HighestOffset().first);
-  // Who heard it from somebody has nothing to tell at once.
+  // A box that has received the offset from a peer does not send it again.
   nodes.at(1).SetConfigOffset(7);
   CHECK(nodes.Step(Millis(1)).empty());
 }
 
-// All begin to speak at the same moment, as after news that all tell on.
-TEST(NodeReports, OfBoxesInStepComeApart) {
+// All boxes send their first load report at the same time, as after a change
+// that makes all of them send. Jitter must spread their later reports.
+TEST(NodeReports, OfBoxesInStepSpreadOut) {
   constexpr int kBoxes = 20;
-  constexpr int64_t kSlotMs = 50;
-  constexpr Millis kJudgedFrom(18'000);
+  constexpr int64_t kIntervalMs = 50;
+  constexpr Millis kMeasuredFrom(18'000);
   constexpr Millis kEnd(20'000);
   SharedNodes nodes(kBoxes, {});
-  std::map<int64_t, size_t> speaking;  // boxes, by slot
+  std::map<int64_t, size_t> sends_by_interval;
   while (nodes.now() < kEnd) {
-    const std::vector<int> spoke = nodes.Step(Millis(10));
-    if (!spoke.empty() && nodes.now() >= kJudgedFrom)
-      speaking[nodes.now().count() / kSlotMs] += spoke.size();
+    const std::vector<int> senders = nodes.Step(Millis(10));
+    if (!senders.empty() && nodes.now() >= kMeasuredFrom)
+      sends_by_interval[nodes.now().count() / kIntervalMs] += senders.size();
   }
-  size_t most = 0;
-  for (const auto& [slot, boxes] : speaking)
-    most = std::max(most, boxes);
-  CHECK(most > 0);
-  CHECK(most <= kBoxes / 2);
+  size_t largest = 0;
+  for (const auto& [interval, sends] : sends_by_interval)
+    largest = std::max(largest, sends);
+  CHECK(largest > 0);
+  CHECK(largest <= kBoxes / 2);
 }
 
 }  // namespace
