--- a/sparbend/core/leaving_news_test.cc
+++ b/sparbend/core/leaving_news_test.cc
@@ -37,7 +37,7 @@
   LONGS_EQUAL(0, nodes.refused());
   for (int box = 0; box < kBoxes; ++box) {
     for (int i = 0; i < kTargets; ++i)
-      CHECK(nodes.at(box).TargetLeaving(
+      CHECK(nodes.at(box).IsTargetLeaving(
           TargetIdOf("target-" + std::to_string(i))));
   }
   // The usual words, and one word to each peer for each target.
--- a/sparbend/core/leaving_targets_test.cc
+++ b/sparbend/core/leaving_targets_test.cc
@@ -67,8 +67,8 @@
   MemberList again = listed;
   again.version = 3;
   behind.SetList(again, nodes.now());
-  CHECK(behind.TargetLeaving(target));
-  CHECK(!behind.TargetLeaving(TargetIdOf("target-0")));
+  CHECK(behind.IsTargetLeaving(target));
+  CHECK(!behind.IsTargetLeaving(TargetIdOf("target-0")));
 }
 
 }  // namespace
--- a/sparbend/core/list_age_test.cc
+++ b/sparbend/core/list_age_test.cc
@@ -66,7 +66,7 @@
       for (const Effects::Outgoing& word : other->Run(now).datagrams)
         CHECK(!busy->OnDatagram(word.bytes, now, row.waited));
     }
-    CHECK_EQUAL_TEXT(row.out_of_date, busy->ListOutOfDate(now), row.what);
+    CHECK_EQUAL_TEXT(row.out_of_date, busy->IsListOutOfDate(now), row.what);
   }
 }
 
@@ -78,7 +78,7 @@
     node->OnStoreAnswered(now);
     node->SetDirectory(1, now);
     for (Millis t; t < Millis(1'150); t = t + kStep) {
-      CHECK(!node->ListOutOfDate(now));
+      CHECK(!node->IsListOutOfDate(now));
       now = now + kStep;
     }
   }
--- a/sparbend/core/load_report_exchange.cc
+++ b/sparbend/core/load_report_exchange.cc
@@ -184,7 +184,7 @@
     return Errc::kInvalid;
   aggregators_.OnAggregate(aggregate.sender, now);
   for (const MemberUpdate& update : aggregate.members)
-    members_->OnMemberNews(update, now);
+    members_->OnMemberUpdate(update, now);
   if (local)
     OnFleetAggregate(aggregate, now);
   else if (aggregating_)
--- a/sparbend/core/members.cc
+++ b/sparbend/core/members.cc
@@ -60,7 +60,7 @@
   return true;
 }
 
-void Members::OnMemberNews(const MemberUpdate& update, Millis now) {
+void Members::OnMemberUpdate(const MemberUpdate& update, Millis now) {
   if (update.box == self_ || !boxes_.contains(update.box))
     return;
   State& state = states_[update.box];
--- a/sparbend/core/members.h
+++ b/sparbend/core/members.h
@@ -3,7 +3,7 @@
 // live.
 //
 //   members.SetList(list, now);
-//   members.OnMemberNews({box, incarnation, heartbeat, leaving}, now);
+//   members.OnMemberUpdate({box, incarnation, heartbeat, leaving}, now);
 //   members.AllocatorOf(target, hall, now);
 //
 // Once a box is leaving, it stays so until an update with a higher incarnation.
@@ -93,7 +93,7 @@
   // Applies an update about a listed box, from the box itself or by gossip.
   // Ignores updates with an older incarnation or heartbeat, except that
   // `leaving` counts for the current incarnation at any heartbeat.
-  void OnMemberNews(const MemberUpdate& update, Millis now);
+  void OnMemberUpdate(const MemberUpdate& update, Millis now);
   // Marks this box as leaving.
   void LeaveSelf() { leaving_ = true; }
 
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -106,7 +106,7 @@
 }
 
 void Node::SetConfigOffset(int64_t offset) {
-  const bool is_newest = offset > HighestOffset().first;
+  const bool is_newest = offset > HighestConfigOffset().first;
   config_offset_ = offset;
   if (is_newest)
     RequestImmediateSend(ImmediateSend::kFleet);
@@ -226,7 +226,7 @@
   return found == targets_.end() ? nullptr : &found->second;
 }
 
-auto Node::TargetLeaving(TargetId target) const -> bool {
+auto Node::IsTargetLeaving(TargetId target) const -> bool {
   const TargetEntry* entry = FindTarget(target);
   return entry == nullptr || entry->leaving ||
          leaving_targets_.Contains(target);
@@ -250,7 +250,7 @@
   std::vector<TargetView> assigned;
   for (const auto& [id, target] : targets_) {
     const bool closed =
-        TargetLeaving(id) || evacuated_halls_.contains(target.hall);
+        IsTargetLeaving(id) || evacuated_halls_.contains(target.hall);
     const TargetView view = {id,           target.name,
                              target.hall,  pools_.at(target.pool),
                              target.slots, closed};
@@ -268,7 +268,7 @@
   slot_allocator_.SetAssignedTargets(assigned, now);
 }
 
-auto Node::ListOutOfDate(Millis now) const -> bool {
+auto Node::IsListOutOfDate(Millis now) const -> bool {
   return options_.target_drain > Millis(0) && directory_read_at_ &&
          now - *directory_read_at_ > options_.target_drain - kMaxSendDelay &&
          store_availability_.AnsweredSince(*directory_read_at_);
@@ -318,10 +318,10 @@
 void Node::ApplyDatagram(const Datagram& datagram, Millis now) {
   const BoxId from = datagram.sender;
   service_counters_.Advance(now);
-  members_.OnMemberNews(
+  members_.OnMemberUpdate(
       {from, datagram.incarnation, datagram.heartbeat, datagram.leaving}, now);
   for (const MemberUpdate& update : datagram.members)
-    members_.OnMemberNews(update, now);
+    members_.OnMemberUpdate(update, now);
   // The box that found a target to be leaving sent that to all boxes
   // immediately. This box passes it on only with its next periodic datagram,
   // for boxes that the finder does not reach. If all boxes passed it on
@@ -520,14 +520,14 @@
   return freshest;
 }
 
-auto Node::HighestOffset() const -> std::pair<int64_t, BoxId> {
+auto Node::HighestConfigOffset() const -> std::pair<int64_t, BoxId> {
   std::pair<int64_t, BoxId> highest = {config_offset_, members_.self()};
   for (const auto& [box, peer] : peers_)
     highest = std::max(highest, {peer.config_offset, box});
   return highest;
 }
 
-auto Node::OffsetOf(BoxId box) const -> int64_t {
+auto Node::ConfigOffsetOf(BoxId box) const -> int64_t {
   if (box == members_.self())
     return config_offset_;
   const auto found = peers_.find(box);
--- a/sparbend/core/node.h
+++ b/sparbend/core/node.h
@@ -83,7 +83,7 @@
   // Whether the list is so old that a target in it may have left and exited,
   // although the store could be read in the meantime. Then no request may be
   // sent. While the store is unavailable, the list does not go out of date.
-  auto ListOutOfDate(Millis now) const -> bool;
+  auto IsListOutOfDate(Millis now) const -> bool;
   // Replaces the set of halls in which no new work may start.
   void SetEvacuatedHalls(std::set<std::string> halls, Millis now);
   // A target was found to be leaving; sent to all boxes immediately. Returns
@@ -145,10 +145,10 @@
       -> std::optional<PeerDirectory>;
   // The highest configuration offset of this box and its peers, and a box that
   // has it.
-  auto HighestOffset() const -> std::pair<int64_t, BoxId>;
-  auto OffsetOf(BoxId box) const -> int64_t;
+  auto HighestConfigOffset() const -> std::pair<int64_t, BoxId>;
+  auto ConfigOffsetOf(BoxId box) const -> int64_t;
   auto FindTarget(TargetId target) const -> const TargetEntry*;
-  auto TargetLeaving(TargetId target) const -> bool;
+  auto IsTargetLeaving(TargetId target) const -> bool;
   auto evacuated_halls() const -> const std::set<std::string>& {
     return evacuated_halls_;
   }
--- a/sparbend/core/node_reports_test.cc
+++ b/sparbend/core/node_reports_test.cc
@@ -57,7 +57,7 @@
   LONGS_EQUAL(1, senders.size());
   LONGS_EQUAL(0, senders[0]);
   LONGS_EQUAL(0, nodes.refused());
-  LONGS_EQUAL(7, nodes.at(1).HighestOffset().first);
+  LONGS_EQUAL(7, nodes.at(1).HighestConfigOffset().first);
   // A box that has received the offset from a peer does not send it again.
   nodes.at(1).SetConfigOffset(7);
   CHECK(nodes.Step(Millis(1)).empty());
--- a/sparbend/core/small_test.cc
+++ b/sparbend/core/small_test.cc
@@ -274,13 +274,13 @@
   CHECK(!members.SetList(List(1, 2), Millis(0)));
   const BoxId other = BoxIdOf("box-1");
   CHECK(!members.IsLive(other, Millis(0)));
-  members.OnMemberNews({other, 5, 1, false}, Millis(100));
+  members.OnMemberUpdate({other, 5, 1, false}, Millis(100));
   CHECK(members.IsLive(other, Millis(2'099)));
   CHECK(!members.IsLive(other, Millis(2'100)));
-  members.OnMemberNews({other, 5, 1, false},
-                       Millis(3'000));  // an old heartbeat
+  members.OnMemberUpdate({other, 5, 1, false},
+                         Millis(3'000));  // an old heartbeat
   CHECK(!members.IsLive(other, Millis(3'000)));
-  members.OnMemberNews({other, 5, 2, false}, Millis(3'000));
+  members.OnMemberUpdate({other, 5, 2, false}, Millis(3'000));
   CHECK(members.IsLive(other, Millis(3'000)));
 }
 
@@ -288,13 +288,13 @@
   Members members("box-0", 1);
   members.SetList(List(1, 2), Millis(0));
   const BoxId other = BoxIdOf("box-1");
-  members.OnMemberNews({other, 5, 1, true}, Millis(0));
+  members.OnMemberUpdate({other, 5, 1, true}, Millis(0));
   CHECK(!members.IsLive(other, Millis(0)));
-  members.OnMemberNews({other, 5, 2, false}, Millis(10));
+  members.OnMemberUpdate({other, 5, 2, false}, Millis(10));
   CHECK(!members.IsLive(other, Millis(10)));
-  members.OnMemberNews({other, 4, 9, false}, Millis(20));
+  members.OnMemberUpdate({other, 4, 9, false}, Millis(20));
   CHECK(!members.IsLive(other, Millis(20)));
-  members.OnMemberNews({other, 6, 1, false}, Millis(30));
+  members.OnMemberUpdate({other, 6, 1, false}, Millis(30));
   CHECK(members.IsLive(other, Millis(30)));
 }
 
@@ -304,8 +304,8 @@
   Members members("box-0", 1);
   members.SetList(List(1, kBoxes), Millis(0));
   for (int i = 1; i < kBoxes; ++i)
-    members.OnMemberNews({BoxIdOf("box-" + std::to_string(i)), 1, 1, false},
-                         Millis(0));
+    members.OnMemberUpdate({BoxIdOf("box-" + std::to_string(i)), 1, 1, false},
+                           Millis(0));
   std::map<BoxId, int> duties;
   std::map<TargetId, BoxId> before;
   for (int i = 0; i < kTargets; ++i) {
@@ -316,7 +316,7 @@
   for (const auto& [box, count] : duties)
     CHECK(count > kTargets / kBoxes / 2 && count < kTargets / kBoxes * 2);
   const BoxId left = BoxIdOf("box-3");
-  members.OnMemberNews({left, 1, 2, true}, Millis(0));
+  members.OnMemberUpdate({left, 1, 2, true}, Millis(0));
   for (const auto& [target, box] : before) {
     const BoxId now = *members.AllocatorOf(target, "h", Millis(0));
     CHECK(now == box || box == left);
--- a/sparbend/services/admin.cc
+++ b/sparbend/services/admin.cc
@@ -190,7 +190,7 @@
     boxes.push_back({{"name", box.name},
                      {"hall", box.hall},
                      {"live", node.members().IsLive(id, now)},
-                     {"offset", node.OffsetOf(id)}});
+                     {"offset", node.ConfigOffsetOf(id)}});
   }
   Json targets = Json::array();
   for (const TargetEntry& target : node.members().list().targets) {
@@ -202,7 +202,7 @@
          {"hall", target.hall},
          {"pool", target.pool},
          {"slots", target.slots},
-         {"leaving", node.TargetLeaving(id)},
+         {"leaving", node.IsTargetLeaving(id)},
          {"allocator", box == nullptr ? "" : box->name},
          {"held", node.ingress_scheduler().leases().Free(id) +
                       node.ingress_scheduler().leases().InFlight(id)},
--- a/sparbend/services/config.cc
+++ b/sparbend/services/config.cc
@@ -251,7 +251,7 @@
 
 auto ConfigService::FollowPeers() -> asio::awaitable<void> {
   while (true) {
-    const auto [highest, peer] = scheduler_->node().HighestOffset();
+    const auto [highest, peer] = scheduler_->node().HighestConfigOffset();
     const bool behind = highest > fold_.next_offset() &&
                         peer != scheduler_->node().members().self();
     if (behind && !co_await FetchFrom(peer))
--- a/sparbend/services/crash_watch.cc
+++ b/sparbend/services/crash_watch.cc
@@ -25,7 +25,7 @@
                           const Slot& slot,
                           const Connection& connection) {
   // A planned end proves nothing.
-  if (scheduler_->node().TargetLeaving(slot.id))
+  if (scheduler_->node().IsTargetLeaving(slot.id))
     return;
   if (!exchange->fingerprint)
     exchange->fingerprint = FingerprintOf(*exchange);
--- a/sparbend/services/declarations.cc
+++ b/sparbend/services/declarations.cc
@@ -181,8 +181,9 @@
     const bool waits = scheduler_->node().IsStoreReader(now);
     // Who hears of something newer reads it itself: one box handing it to all
     // others would be too much for that box when there are many.
-    const bool behind = scheduler_->node().HighestOffset().first > offset_ &&
-                        now - looked >= kPauseBehind;
+    const bool behind =
+        scheduler_->node().HighestConfigOffset().first > offset_ &&
+        now - looked >= kPauseBehind;
     if (!waits && !behind && !LookDue(now)) {
       co_await kernel_->SleepToTick(kLook);
       continue;
@@ -205,7 +206,7 @@
   const Json nothing = Json::object();
   Millis level_at = kernel_->Now();  // when no peer was ahead
   while (true) {
-    const auto [highest, peer] = scheduler_->node().HighestOffset();
+    const auto [highest, peer] = scheduler_->node().HighestConfigOffset();
     const Millis now = kernel_->Now();
     if (highest <= offset_)
       level_at = now;
--- a/sparbend/services/directory.cc
+++ b/sparbend/services/directory.cc
@@ -350,7 +350,7 @@
       look = co_await FollowPeer();
     // Nobody's turn came in time: what this box sends would soon be refused.
     if (look == PeerListCheck::kNothing &&
-        scheduler_->node().ListOutOfDate(now + kReadBefore))
+        scheduler_->node().IsListOutOfDate(now + kReadBefore))
       look = PeerListCheck::kFailed;
     if (!ReadNow({known_, duty, store_.lost(), look, now - read_at,
                   looks_.Due(now)})) {
--- a/sparbend/services/forward.cc
+++ b/sparbend/services/forward.cc
@@ -559,14 +559,14 @@
     co_return AttemptResult{false, Verdict::kNotRun, "its time ran out", false,
                             TargetOutcome::kGood};
   // What is known of the target may have changed while the connection was made.
-  if (scheduler_->node().TargetLeaving(slot.id))
+  if (scheduler_->node().IsTargetLeaving(slot.id))
     co_return AttemptResult{false, Verdict::kNotRun, "the target leaves", false,
                             TargetOutcome::kGood};
   if (BacksOff(slot))
     co_return AttemptResult{false, Verdict::kNotRun,
                             "the target turns requests away for now", false,
                             TargetOutcome::kGood};
-  if (scheduler_->node().ListOutOfDate(kernel_->Now()))
+  if (scheduler_->node().IsListOutOfDate(kernel_->Now()))
     co_return AttemptResult{false, Verdict::kNotRun,
                             "the list of targets is out of date", false,
                             TargetOutcome::kGood};
--- a/sparbend/services/runner.cc
+++ b/sparbend/services/runner.cc
@@ -117,7 +117,7 @@
 }
 
 auto Runner::WhyListTooOld() -> std::optional<Refusal> {
-  if (!scheduler_->node().ListOutOfDate(kernel_->Now()))
+  if (!scheduler_->node().IsListOutOfDate(kernel_->Now()))
     return std::nullopt;
   metrics_->list_refusals.Increment();
   return Refusal{kUnavailable, Verdict::kNotRun,
