--- a/sparbend/core/lapsed_targets_test.cc
+++ b/sparbend/core/lapsed_targets_test.cc
@@ -98,7 +98,7 @@
   void Follow(int number) {
     Box& box = boxes_[static_cast<size_t>(number)];
     const Millis now = nodes_.now();
-    if (!nodes_.at(number).store_contact().RecordsMayLapse(box.told))
+    if (!nodes_.at(number).store_availability().RecordsMayLapse(box.told))
       box.book.EndLapsed();
     const bool due = box.lost ? now >= box.retry_at
                               : nodes_.at(number).IsStoreReader(now) &&
@@ -122,7 +122,7 @@
     box.lost = false;
     nodes_.at(number).OnStoreAnswered(now);
     const Removal removal =
-        nodes_.at(number).store_contact().RecordsMayLapse(now)
+        nodes_.at(number).store_availability().RecordsMayLapse(now)
             ? Removal::kDoubtful
             : Removal::kFinal;
     for (; box.next < store_.records.size(); ++box.next) {
--- a/sparbend/core/node.h
+++ b/sparbend/core/node.h
@@ -77,7 +77,7 @@
   void OnStoreFailed(Millis sent);
   // Whether this box has the role of reading the store for its hall.
   auto IsStoreReader(Millis now) const -> bool;
-  auto store_contact() const -> const StoreAvailability& {
+  auto store_availability() const -> const StoreAvailability& {
     return store_availability_;
   }
   // Whether the list is so old that a target in it may have left and exited,
--- a/sparbend/services/directory.cc
+++ b/sparbend/services/directory.cc
@@ -225,7 +225,8 @@
 
 auto Directory::TakeTargets(const KeyedPage& page) -> bool {
   const Millis now = kernel_->Now();
-  const bool doubtful = scheduler_->node().store_contact().RecordsMayLapse(now);
+  const bool doubtful =
+      scheduler_->node().store_availability().RecordsMayLapse(now);
   const Removal removal = doubtful ? Removal::kDoubtful : Removal::kFinal;
   bool changed = false;
   std::set<std::string> names;
@@ -292,7 +293,7 @@
   store_.OnGood(now);
   scheduler_->node().OnStoreAnswered(now);
   bool changed = TakeTargets(*page) || !known_;
-  if (!scheduler_->node().store_contact().RecordsMayLapse(now))
+  if (!scheduler_->node().store_availability().RecordsMayLapse(now))
     changed = book_.EndLapsed() || changed;
   known_ = true;
   digest_.reset();
@@ -305,7 +306,7 @@
 // What was doubtful when it was read need be so no longer, since a peer was
 // heard that reached the store all the while.
 void Directory::EndLapsed() {
-  if (scheduler_->node().store_contact().RecordsMayLapse(told_) ||
+  if (scheduler_->node().store_availability().RecordsMayLapse(told_) ||
       !book_.EndLapsed())
     return;
   digest_.reset();
