--- a/sparbend/core/ingress_scheduler.cc
+++ b/sparbend/core/ingress_scheduler.cc
@@ -396,7 +396,7 @@
   const auto target = targets_.find(notice.target);
   if (target == targets_.end())
     return;
-  for (const WorkspaceId workspace : notice.meant_for)
+  for (const WorkspaceId workspace : notice.reserved_for)
     demand_.OnGranted(from, {target->second.view.pool, workspace}, 1);
 }
 
--- a/sparbend/core/messages.cc
+++ b/sparbend/core/messages.cc
@@ -32,8 +32,8 @@
   Json flat = Json::array();
   for (const LeaseNotice& lease : leases) {
     flat.insert(flat.end(), {lease.target, lease.epoch, lease.granted,
-                             lease.keep ? 1 : 0, lease.meant_for.size()});
-    for (const WorkspaceId workspace : lease.meant_for)
+                             lease.keep ? 1 : 0, lease.reserved_for.size()});
+    for (const WorkspaceId workspace : lease.reserved_for)
       flat.push_back(workspace);
   }
   return flat;
@@ -179,7 +179,7 @@
   lease.keep = in.Take(1) != 0;
   const auto count = in.Take<size_t>(kMaxDatagramBytes);
   for (size_t i = 0; i < count && in.ok(); ++i)
-    lease.meant_for.push_back(in.Take());
+    lease.reserved_for.push_back(in.Take());
   return lease;
 }
 
--- a/sparbend/core/messages.h
+++ b/sparbend/core/messages.h
@@ -27,7 +27,7 @@
   uint32_t granted = 0;  // slots granted since the epoch began
   bool keep = false;     // may retain unused slots; else must return them
   // Workspaces that the newest grants are reserved for, oldest grant first.
-  std::vector<WorkspaceId> meant_for;
+  std::vector<WorkspaceId> reserved_for;
 
   auto operator==(const LeaseNotice&) const -> bool = default;
 };
--- a/sparbend/core/messages_test.cc
+++ b/sparbend/core/messages_test.cc
@@ -48,7 +48,7 @@
   lease.epoch = *rc::gen::arbitrary<uint32_t>();
   lease.granted = *rc::gen::arbitrary<uint32_t>();
   lease.keep = *rc::gen::arbitrary<bool>();
-  lease.meant_for =
+  lease.reserved_for =
       *rc::gen::resize(5, rc::gen::arbitrary<std::vector<WorkspaceId>>());
   datagram.leases.push_back(lease);
   LeaseReport report;
