--- a/sparbend/core/load_report_exchange_test.cc
+++ b/sparbend/core/load_report_exchange_test.cc
@@ -1,6 +1,6 @@
-// Wrong aggregates: impossible ones are rejected, and the effect of others ends
-// with the next aggregates of the aggregators. Also that each hall has two
-// aggregators, and that one that sends nothing is replaced.
+// Aggregates with impossible values are rejected, and the effect of a wrong but
+// possible one ends with the next aggregate of an aggregator of the hall. Each
+// hall has two aggregators; one that stops sending is replaced.
 #include "sparbend/core/load_report_exchange.h"
 
 #include <algorithm>
--- a/sparbend/core/members.cc
+++ b/sparbend/core/members.cc
@@ -12,6 +12,7 @@
 namespace sparbend {
 namespace {
 
+// Input of the hash that ranks boxes, so it must be the same on all boxes.
 constexpr const char* kAggregatorRole = "sums";
 
 auto RendezvousWeight(BoxId box, TargetId target) -> uint64_t {
