--- a/sparbend/core/small_test.cc
+++ b/sparbend/core/small_test.cc
@@ -275,13 +275,13 @@
   CHECK(!members.SetList(MakeMemberList(1, 2), Millis(0)));
   const BoxId other = BoxIdOf("box-1");
   CHECK(!members.IsLive(other, Millis(0)));
-  members.OnMemberNews({other, 5, 1, false}, Millis(100));
+  members.OnMemberUpdate({other, 5, 1, false}, Millis(100));
   CHECK(members.IsLive(other, Millis(2'099)));
   CHECK(!members.IsLive(other, Millis(2'100)));
-  members.OnMemberNews({other, 5, 1, false},
-                       Millis(3'000));  // heartbeat already received
+  members.OnMemberUpdate({other, 5, 1, false},
+                         Millis(3'000));  // heartbeat already received
   CHECK(!members.IsLive(other, Millis(3'000)));
-  members.OnMemberNews({other, 5, 2, false}, Millis(3'000));
+  members.OnMemberUpdate({other, 5, 2, false}, Millis(3'000));
   CHECK(members.IsLive(other, Millis(3'000)));
 }
 
@@ -289,13 +289,13 @@
   Members members("box-0", 1);
   members.SetList(MakeMemberList(1, 2), Millis(0));
   const BoxId other = BoxIdOf("box-1");
-  members.OnMemberNews({other, 5, 1, true}, Millis(0));
+  members.OnMemberUpdate({other, 5, 1, true}, Millis(0));
   CHECK(!members.IsLive(other, Millis(0)));
-  members.OnMemberNews({other, 5, 2, false}, Millis(10));
+  members.OnMemberUpdate({other, 5, 2, false}, Millis(10));
   CHECK(!members.IsLive(other, Millis(10)));
-  members.OnMemberNews({other, 4, 9, false}, Millis(20));
+  members.OnMemberUpdate({other, 4, 9, false}, Millis(20));
   CHECK(!members.IsLive(other, Millis(20)));
-  members.OnMemberNews({other, 6, 1, false}, Millis(30));
+  members.OnMemberUpdate({other, 6, 1, false}, Millis(30));
   CHECK(members.IsLive(other, Millis(30)));
 }
 
@@ -305,8 +305,8 @@
   Members members("box-0", 1);
   members.SetList(MakeMemberList(1, kBoxes), Millis(0));
   for (int i = 1; i < kBoxes; ++i)
-    members.OnMemberNews({BoxIdOf("box-" + std::to_string(i)), 1, 1, false},
-                         Millis(0));
+    members.OnMemberUpdate({BoxIdOf("box-" + std::to_string(i)), 1, 1, false},
+                           Millis(0));
   std::map<BoxId, int> assigned_targets;
   std::map<TargetId, BoxId> allocators_before;
   for (int i = 0; i < kTargets; ++i) {
@@ -317,7 +317,7 @@
   for (const auto& [box, count] : assigned_targets)
     CHECK(count > kTargets / kBoxes / 2 && count < kTargets / kBoxes * 2);
   const BoxId leaving_box = BoxIdOf("box-3");
-  members.OnMemberNews({leaving_box, 1, 2, true}, Millis(0));
+  members.OnMemberUpdate({leaving_box, 1, 2, true}, Millis(0));
   for (const auto& [target, box] : allocators_before) {
     const BoxId now = *members.AllocatorOf(target, "h", Millis(0));
     CHECK(now == box || box == leaving_box);
