--- a/sparbend/core/fair_shares.cc
+++ b/sparbend/core/fair_shares.cc
@@ -1,25 +1,28 @@
-// A flow is hungry when more of what it asks is refused than served. Boxes see
-// a flow differently: one that comes through a single box may be refused there
-// while a flood that comes through all of them finds a gap at each. So nobody
-// may run far ahead of a hungry flow, whoever asks where: a flow that was
-// served kAhead times as much yields. The bound on two hungry flows is then
-// kAhead and what happens within the age of the boxes' words.
+// A flow is underserved when more of what it requests is refused than served.
+// Boxes see a flow differently: one that arrives through a single box may be
+// refused there, while an overload that arrives through all boxes finds spare
+// capacity at each of them. So no flow may run far ahead of an underserved one,
+// whichever boxes they arrive through: a flow that was served kMaxServiceRatio
+// times as much must yield. The ratio of two underserved flows is then bounded
+// by kMaxServiceRatio and by what is served within the age of the peers'
+// reports.
 //
-// A hungry flow's own box may be what holds it back, and a target that nobody
-// uses helps nobody; so no flow yields below what it is owed of the declared
-// capacity by max-min fairness, worked out from what all ask. (Measured: with
-// the mean for that level a fleet under load served half of what it could.)
-// What a flow gets far beyond that level it gets at the others' cost: it
-// yields then even if nobody is known to be hungry, since a box that is behind
-// does not hear all that is asked of it.
+// An underserved flow may be limited by its own ingress box, and leaving a
+// target idle helps no flow. So no flow must yield below its entitlement: its
+// max-min fair share of the declared capacity, computed from what all flows
+// request. With the mean service as that limit, a fleet under load served half
+// of its capacity. Service far above the entitlement is at the cost of other
+// flows. A flow must yield there even if no flow is known to be underserved,
+// since a saturated box does not see everything that is requested from it.
 //
-// What peers tell of a flow is up to half a second old. If each box held the
-// flow's bound against that sum, all that it comes through would fill the same
-// gap together, and stop together. So a flow is judged by the mean of two sums:
-// what was told, and this box's own service over its own part of what the flow
-// asks, which is what the fleet served if all boxes gave alike. The second is
-// exact and stops each box at its part of the bound; the first gives to others
-// what a box leaves of its part.
+// Peers' reports of a flow are up to half a second old. If each box compared
+// the flow's ceiling with their sum, all boxes it arrives through would fill
+// the same gap at the same time, and stop at the same time. So the service of a
+// flow is estimated as the mean of two values. The first is the reported sum.
+// The second is this box's own service divided by its own fraction of what the
+// flow requests, which is the service of the fleet if all boxes serve the flow
+// evenly. The second is up to date and stops each box at its fraction of the
+// ceiling; the first lets other boxes use what a box leaves of its fraction.
 #include "sparbend/core/fair_shares.h"
 
 #include <algorithm>
@@ -28,49 +31,58 @@
 namespace sparbend {
 namespace {
 
-// Levels are worked out this often; they move over a second or more.
+// Minimum age of the levels before they are recomputed; they change over a
+// second or more.
 constexpr Millis kLevelInterval = Millis(20);
-// A flow with so many times the mean had more than its fair part.
-constexpr double kOverMeans = 2;
-// Times as much as the least served hungry flow that a flow may be served; the
-// users ask that nobody gets less than half of what another gets.
-constexpr double kAhead = 1.5;
-// Times what it is owed that a flow may be served: some room for amounts that
-// are told late and for requests of very different sizes.
-constexpr double kBeyondOwed = 1.05;
-// The same while no hungry flow is short of what it is owed: what is left may
-// go to whoever asks (measured: 1.05 at all times costs 0.02 to 0.04 of worth
-// on quiet days).
-constexpr double kBeyondOwedAtEase = 1.5;
-constexpr double kShort = 0.9;
-// A refused request comes back about once, so half of what is refused is asked
-// besides what is served.
-constexpr int64_t kAskedPerDenied = 2;
-// A flow is hungry if what it asks besides is more than what it was served, and
-// more than a few of the largest requests.
-constexpr int64_t kHungryTokens = 100'000;
-// Amounts fade with this time constant (FairUsage), so a steady rate shows as
-// what it brings in that time.
-constexpr int64_t kFadeSeconds = 2;
-// Part of what is known of sizes that is kept with each request: some 50 are
-// remembered.
-constexpr double kSizesKept = 0.98;
-constexpr double kHalf = 0.5;
+// A flow that was served this many times the mean of its pool has had its fair
+// share.
+constexpr double kMaxRatioToMean = 2;
+// Maximum service of a flow as a multiple of the least service of an
+// underserved flow. Users require that no flow gets less than half of what
+// another gets.
+constexpr double kMaxServiceRatio = 1.5;
+// Maximum service of a flow as a multiple of its entitlement while an
+// underserved flow is below its own. The margin is for late reports and for
+// requests of very different sizes.
+constexpr double kMaxEntitlementRatio = 1.05;
+// The same while no underserved flow is below its entitlement: the remaining
+// capacity may go to any flow that requests it.
+constexpr double kMaxUncontendedEntitlementRatio = 1.5;
+// An underserved flow is below its entitlement if it was served less than this
+// part of it.
+constexpr double kShortfallRatio = 0.9;
+// A refused request is retried about once, so each request that is not served
+// shows up as about two refusals.
+constexpr int64_t kDenialsPerRequest = 2;
+// A flow is underserved only if the refusals to it come to at least this, which
+// is more than a few of the largest requests.
+constexpr int64_t kMinDeniedTokens = 100'000;
+// Time constant of the decay in FairUsage. A steady rate shows up there as the
+// amount of this many seconds.
+constexpr int64_t kDecaySeconds = 2;
+// Factor by which each request decays the sums of request sizes: some 50
+// requests are remembered.
+constexpr double kSizeRetention = 0.98;
+// Overshoot of a box at its ceiling, in requests: a request takes the box past
+// the ceiling by half of its size on average.
+constexpr double kMeanOvershootRequests = 0.5;
+// Weight of each of the two estimates of a flow's service.
+constexpr double kEstimateWeight = 0.5;
 
 }  // namespace
 
-void FairShares::Served(Flow flow, int64_t amount, Millis now) {
+void FairShares::RecordServed(Flow flow, int64_t amount, Millis now) {
   served_.Charge(flow, amount, now);
   if (amount > 0)
     sizes_[flow].Add(static_cast<double>(amount));
 }
 
-void FairShares::Sizes::Add(double amount) {
-  squares = kSizesKept * squares + amount * amount;
-  sum = kSizesKept * sum + amount;
+void FairShares::RequestSizes::Add(double amount) {
+  squares = kSizeRetention * squares + amount * amount;
+  sum = kSizeRetention * sum + amount;
 }
 
-void FairShares::Denied(Flow flow, int64_t amount, Millis now) {
+void FairShares::RecordDenied(Flow flow, int64_t amount, Millis now) {
   denied_.Charge(flow, amount, now);
 }
 
@@ -82,8 +94,8 @@
   denied_.UpdateFromPeer(from, denied, now);
 }
 
-auto FairShares::FindLevels(PoolId pool, Millis now) const -> Levels {
-  Levels levels;
+auto FairShares::ComputeLevels(PoolId pool, Millis now) const -> PoolLevels {
+  PoolLevels levels;
   levels.at = now;
   int64_t sum = 0;
   int64_t count = 0;
@@ -92,113 +104,125 @@
     count += served.value > 0 ? 1 : 0;
   }
   levels.mean = count == 0 ? 0 : sum / count;
-  std::map<Flow, int64_t> asked;
+  std::map<Flow, int64_t> requested;
   for (const FlowValue& served : served_.Amounts(pool, now))
-    asked[served.flow] = served.value;
+    requested[served.flow] = served.value;
   for (const FlowValue& denied : denied_.Amounts(pool, now)) {
     const int64_t served = served_.Of(denied.flow, now);
-    const int64_t besides = denied.value / kAskedPerDenied;
-    asked[denied.flow] += besides;
-    if (denied.value >= kHungryTokens && besides > served)
-      levels.hungry = std::min(levels.hungry.value_or(served), served);
+    const int64_t unserved = denied.value / kDenialsPerRequest;
+    requested[denied.flow] += unserved;
+    if (denied.value >= kMinDeniedTokens && unserved > served)
+      levels.least_underserved =
+          std::min(levels.least_underserved.value_or(served), served);
   }
   std::vector<int64_t> amounts;
-  for (const auto& [flow, amount] : asked)
+  for (const auto& [flow, amount] : requested)
     amounts.push_back(amount);
-  levels.owed = OwedLevel(pool, std::move(amounts));
+  levels.entitled = EntitledLevel(pool, std::move(amounts));
   return levels;
 }
 
-// Fills all up evenly until the capacity is used; O(n log n).
-auto FairShares::OwedLevel(PoolId pool, std::vector<int64_t> asked) const
+// Raises the fair shares of all flows evenly until the capacity is used up
+// (water-filling). O(n log n).
+auto FairShares::EntitledLevel(PoolId pool,
+                               std::vector<int64_t> requested) const
     -> int64_t {
   const auto declared = capacity_.find(pool);
   if (declared == capacity_.end() || declared->second == 0)
     return 0;
-  int64_t left = declared->second * kFadeSeconds;
-  std::ranges::sort(asked);
-  for (size_t i = 0; i < asked.size(); ++i) {
-    const auto others = static_cast<int64_t>(asked.size() - i);
-    if (asked[i] * others >= left)
-      return left / others;
-    left -= asked[i];
+  int64_t remaining_capacity = declared->second * kDecaySeconds;
+  std::ranges::sort(requested);
+  for (size_t i = 0; i < requested.size(); ++i) {
+    const auto remaining_flows = static_cast<int64_t>(requested.size() - i);
+    if (requested[i] * remaining_flows >= remaining_capacity)
+      return remaining_capacity / remaining_flows;
+    remaining_capacity -= requested[i];
   }
-  return std::numeric_limits<int64_t>::max();  // enough for all
+  return std::numeric_limits<int64_t>::max();  // enough for all flows
 }
 
-auto FairShares::LevelsOf(PoolId pool, Millis now) const -> const Levels& {
-  Levels& levels = levels_[pool];
+auto FairShares::LevelsOf(PoolId pool, Millis now) const -> const PoolLevels& {
+  PoolLevels& levels = levels_[pool];
   if (now - levels.at >= kLevelInterval)
-    levels = FindLevels(pool, now);
+    levels = ComputeLevels(pool, now);
   return levels;
 }
 
-// The least served hungry flow may be the very one that is judged; what it is
-// owed still bounds it.
-auto FairShares::CeilingOf(const Levels& levels) -> double {
-  const auto owed = static_cast<double>(levels.owed);
-  const bool any_short =
-      levels.hungry && static_cast<double>(*levels.hungry) < kShort * owed;
-  const double times = any_short ? kBeyondOwed : kBeyondOwedAtEase;
-  const double beyond = owed > 0 ? times * owed : kMustYield;
-  if (!levels.hungry)
-    return beyond;
-  const auto level = static_cast<double>(std::max(*levels.hungry, levels.mean));
-  return std::min(beyond, std::max(owed, kAhead * level));
+// The least served underserved flow may be the flow that is being judged
+// itself; its entitlement still bounds it.
+auto FairShares::CeilingOf(const PoolLevels& levels) -> double {
+  const auto entitled = static_cast<double>(levels.entitled);
+  const bool any_below_entitlement =
+      levels.least_underserved &&
+      static_cast<double>(*levels.least_underserved) <
+          kShortfallRatio * entitled;
+  const double entitlement_ratio = any_below_entitlement
+                                       ? kMaxEntitlementRatio
+                                       : kMaxUncontendedEntitlementRatio;
+  const double entitlement_limit =
+      entitled > 0 ? entitlement_ratio * entitled : kMustYield;
+  if (!levels.least_underserved)
+    return entitlement_limit;
+  const auto fair_level =
+      static_cast<double>(std::max(*levels.least_underserved, levels.mean));
+  return std::min(entitlement_limit,
+                  std::max(entitled, kMaxServiceRatio * fair_level));
 }
 
-// Purpose: of two floods the one through 59 boxes had 1.56 times what the one
-// through two had, now 1.08 times (tokens over 6 s, simulated, words every
-// 500 ms).
-auto FairShares::Judged(Flow flow, double ceiling, Millis now) const -> double {
-  const auto told = static_cast<double>(served_.Of(flow, now));
+// Without this estimate, of two overloads the one that arrives through 59 boxes
+// gets about one and a half times as much as the one that arrives through two.
+auto FairShares::EstimatedService(Flow flow, double ceiling, Millis now) const
+    -> double {
+  const auto reported = static_cast<double>(served_.Of(flow, now));
   const auto own = static_cast<double>(served_.OwnOf(flow, now));
-  const auto asked = [](int64_t served, int64_t denied) {
-    return static_cast<double>(served + denied / kAskedPerDenied);
+  const auto requested = [](int64_t served, int64_t denied) {
+    return static_cast<double>(served + denied / kDenialsPerRequest);
   };
-  const double asked_here =
-      asked(served_.OwnOf(flow, now), denied_.OwnOf(flow, now));
-  const double asked_anywhere =
-      asked(served_.Of(flow, now), denied_.Of(flow, now));
-  if (asked_here <= 0)
-    return told;
-  const double parts = asked_anywhere / asked_here;
-  // One request takes each other box past its part by half of its size in the
-  // mean.
-  const double beyond =
-      std::min(UsualRequest(flow) * (parts - 1), ceiling) * kHalf;
-  return (told + own * parts + beyond) * kHalf;
+  const double requested_here =
+      requested(served_.OwnOf(flow, now), denied_.OwnOf(flow, now));
+  const double requested_in_fleet =
+      requested(served_.Of(flow, now), denied_.Of(flow, now));
+  if (requested_here <= 0)
+    return reported;
+  // The number of boxes that the flow arrives through, if it arrived evenly.
+  const double effective_boxes = requested_in_fleet / requested_here;
+  // Other boxes exceed their fractions of the ceiling, each by half a request
+  // on average.
+  const double overshoot =
+      std::min(TypicalRequestTokens(flow) * (effective_boxes - 1), ceiling) *
+      kMeanOvershootRequests;
+  return (reported + own * effective_boxes + overshoot) * kEstimateWeight;
 }
 
-auto FairShares::UsualRequest(Flow flow) const -> double {
+auto FairShares::TypicalRequestTokens(Flow flow) const -> double {
   const auto found = sizes_.find(flow);
   return found == sizes_.end() ? 0 : found->second.squares / found->second.sum;
 }
 
-auto FairShares::StandingOf(Flow flow, Millis now) const -> Standing {
-  const Levels& levels = LevelsOf(flow.pool, now);
+auto FairShares::StateOf(Flow flow, Millis now) const -> FlowState {
+  const PoolLevels& levels = LevelsOf(flow.pool, now);
   const double ceiling = CeilingOf(levels);
   const auto bounded = static_cast<double>(std::numeric_limits<int32_t>::max());
-  Standing standing;
-  standing.served = served_.Of(flow, now);
-  standing.judged = std::llround(Judged(flow, ceiling, now));
+  FlowState state;
+  state.served = served_.Of(flow, now);
+  state.estimated = std::llround(EstimatedService(flow, ceiling, now));
   if (ceiling < bounded)
-    standing.ceiling = static_cast<int64_t>(ceiling);
-  if (levels.owed > 0 && static_cast<double>(levels.owed) < bounded)
-    standing.owed = levels.owed;
-  return standing;
+    state.ceiling = static_cast<int64_t>(ceiling);
+  if (levels.entitled > 0 && static_cast<double>(levels.entitled) < bounded)
+    state.entitled = levels.entitled;
+  return state;
 }
 
-auto FairShares::Excess(Flow flow, Millis now) const -> double {
-  const Levels& levels = LevelsOf(flow.pool, now);
+auto FairShares::RatioToFairShare(Flow flow, Millis now) const -> double {
+  const PoolLevels& levels = LevelsOf(flow.pool, now);
   if (levels.mean == 0)
     return 0;
   const double ceiling = CeilingOf(levels);
-  const double served = Judged(flow, ceiling, now);
+  const double served = EstimatedService(flow, ceiling, now);
   if (served > ceiling)
     return kMustYield;
-  const double means = kOverMeans * static_cast<double>(levels.mean);
-  return served / std::max(means, static_cast<double>(levels.owed));
+  const double mean_limit = kMaxRatioToMean * static_cast<double>(levels.mean);
+  return served / std::max(mean_limit, static_cast<double>(levels.entitled));
 }
 
 }  // namespace sparbend
--- a/sparbend/core/fair_shares.h
+++ b/sparbend/core/fair_shares.h
@@ -1,11 +1,14 @@
-// Who had more than its fair part of a pool lately, over the whole fleet:
-// from what flows were served, and what was refused to them.
+// Tells which flows have had more than their fair share of a pool recently,
+// over the whole fleet. Inputs are the service that flows received and the
+// requests that were refused to them, on this box and as reported by peers.
 //
-//   parts.Served(flow, tokens, now);  parts.Denied(flow, tokens, now);
-//   parts.Learn(peer, served, denied, now);
-//   parts.Excess(flow, now)           // 1 and more: had its part
+//   shares.RecordServed(flow, tokens, now);
+//   shares.RecordDenied(flow, tokens, now);
+//   shares.UpdateFromPeer(peer, served, denied, now);
+//   shares.RatioToFairShare(flow, now)  // 1 or more: has had its fair share
 //
-// Pure. Amounts are tokens over the flow's share (FairUsage).
+// No I/O and no clock: the caller passes the time. Amounts are tokens divided
+// by the flow's share, and decay with time (see FairUsage).
 #ifndef SPARBEND_CORE_FAIR_SHARES_H_
 #define SPARBEND_CORE_FAIR_SHARES_H_
 
@@ -20,89 +23,100 @@
 
 class FairShares {
  public:
-  // The excess of a flow that gets nothing more while another that was served
-  // much less is refused requests.
+  // The ratio of a flow that gets nothing more while another flow, which was
+  // served much less, is being refused.
   static constexpr double kMustYield = std::numeric_limits<double>::infinity();
 
-  // What a pool's targets together serve, tokens a second, as it is declared;
-  // zero: not known.
+  // Sets the declared capacity of all targets of `pool` together, in tokens per
+  // second; zero: not known.
   void SetCapacity(PoolId pool, int64_t tokens_per_second) {
     capacity_[pool] = tokens_per_second;
   }
-  void Served(Flow flow, int64_t amount, Millis now);
-  // A request of `flow` was refused for want of room.
-  void Denied(Flow flow, int64_t amount, Millis now);
-  // The whole word of box `from`.
+  // Adds `amount` to the service of `flow`; a negative amount corrects an
+  // earlier one.
+  void RecordServed(Flow flow, int64_t amount, Millis now);
+  // Records that a request of `flow` was refused because there was no capacity.
+  void RecordDenied(Flow flow, int64_t amount, Millis now);
+  // Replaces what is known of box `from` by its full report.
   void UpdateFromPeer(BoxId from,
                       const std::vector<FlowValue>& served,
                       const std::vector<FlowValue>& denied,
                       Millis now);
 
-  // Drops what boxes told.
+  // Drops the reports of all peers.
   void ClearPeerReports() {
     served_.ClearPeerReports();
     denied_.ClearPeerReports();
   }
 
+  // Decayed service of `flow` over the whole fleet.
   auto ServedLately(Flow flow, Millis now) const -> int64_t {
     return served_.Of(flow, now);
   }
-  // How many times `flow` had its fair part; from 1 on it may only take what
-  // nobody else wants, and nothing at kMustYield.
-  auto Excess(Flow flow, Millis now) const -> double;
-
-  // Where a flow stands, for the log: tokens it was served as peers told, is
-  // judged to have been served, may be served before it yields, and is owed;
-  // the last two -1 if there is no bound.
-  struct Standing {
-    int64_t served = 0;
-    int64_t judged = 0;  // what is compared with the ceiling
-    int64_t ceiling = -1;
-    int64_t owed = -1;
+  // Service of `flow` divided by its fair share. From 1 on the flow may only
+  // use spare capacity, and at kMustYield it gets nothing.
+  auto RatioToFairShare(Flow flow, Millis now) const -> double;
+
+  // Where a flow stands relative to its fair share, for error messages. Amounts
+  // are in decayed tokens over the share; `ceiling` and `entitled` are -1 if
+  // there is no bound.
+  struct FlowState {
+    int64_t served = 0;     // from own records and the peers' reports
+    int64_t estimated = 0;  // current service, compared with the ceiling
+    int64_t ceiling = -1;   // service above which the flow must yield
+    int64_t entitled = -1;  // fair share of the declared capacity
   };
-  auto StandingOf(Flow flow, Millis now) const -> Standing;
+  auto StateOf(Flow flow, Millis now) const -> FlowState;
 
-  // For peers: own amounts, the largest first.
-  auto OwnServed(size_t most, Millis now) const -> std::vector<FlowValue> {
-    return served_.OwnValues(most, now);
+  // This box's own amounts, to be sent to peers: at most `max_flows`, the
+  // largest first.
+  auto OwnServed(size_t max_flows, Millis now) const -> std::vector<FlowValue> {
+    return served_.OwnValues(max_flows, now);
   }
-  auto OwnDenied(size_t most, Millis now) const -> std::vector<FlowValue> {
-    return denied_.OwnValues(most, now);
+  auto OwnDenied(size_t max_flows, Millis now) const -> std::vector<FlowValue> {
+    return denied_.OwnValues(max_flows, now);
   }
 
  private:
-  // What the flows of a pool are measured by.
-  struct Levels {
-    int64_t mean = 0;               // served to a flow
-    std::optional<int64_t> hungry;  // served to the least served hungry flow
-    int64_t owed = 0;               // most that a flow is owed; 0: not known
-    Millis at;
+  // Amounts of a pool with which its flows are compared.
+  struct PoolLevels {
+    int64_t mean = 0;  // service per flow that was served
+    // Least service of an underserved flow, if any flow is underserved.
+    std::optional<int64_t> least_underserved;
+    int64_t entitled = 0;  // largest max-min fair share; 0: capacity not known
+    Millis at;             // when they were computed
   };
 
-  // Sizes of requests, weighted by themselves: small corrections of what was
-  // charged count for little.
-  struct Sizes {
+  // Decaying sums over request sizes. Each size is weighted by itself, so that
+  // small corrections of earlier charges hardly count.
+  struct RequestSizes {
     double squares = 0;
     double sum = 0;
 
     void Add(double amount);
   };
 
-  // What a flow is taken to have been served, over the fleet.
-  auto Judged(Flow flow, double ceiling, Millis now) const -> double;
-  // Size of a flow's requests; zero: not known.
-  auto UsualRequest(Flow flow) const -> double;
-  // What a flow may be served before it yields.
-  static auto CeilingOf(const Levels& levels) -> double;
-  auto LevelsOf(PoolId pool, Millis now) const -> const Levels&;
-  auto FindLevels(PoolId pool, Millis now) const -> Levels;
-  auto OwedLevel(PoolId pool, std::vector<int64_t> asked) const -> int64_t;
+  // Estimated current service of the flow over the fleet, including what peers
+  // have not reported yet. `ceiling` bounds the assumed overshoot of other
+  // boxes.
+  auto EstimatedService(Flow flow, double ceiling, Millis now) const -> double;
+  // Weighted mean size of the flow's requests; zero: not known.
+  auto TypicalRequestTokens(Flow flow) const -> double;
+  // Service above which a flow must yield.
+  static auto CeilingOf(const PoolLevels& levels) -> double;
+  // The levels of `pool`, at most kLevelInterval old.
+  auto LevelsOf(PoolId pool, Millis now) const -> const PoolLevels&;
+  auto ComputeLevels(PoolId pool, Millis now) const -> PoolLevels;
+  // The largest max-min fair share of the declared capacity among flows that
+  // requested these amounts; 0: capacity not known.
+  auto EntitledLevel(PoolId pool, std::vector<int64_t> requested) const
+      -> int64_t;
 
   FairUsage served_;
   FairUsage denied_;
-  std::map<Flow, Sizes> sizes_;
+  std::map<Flow, RequestSizes> sizes_;
   std::map<PoolId, int64_t> capacity_;
-  mutable std::map<PoolId, Levels> levels_;
+  mutable std::map<PoolId, PoolLevels> levels_;
 };
 
 }  // namespace sparbend
--- a/sparbend/core/fair_usage.cc
+++ b/sparbend/core/fair_usage.cc
@@ -1,6 +1,7 @@
-// Exponential fading with one time constant for all: a sum of faded amounts
-// is the faded sum. So words of different age add up rightly, and one amount a
-// flow (told_) stands for the words of all boxes.
+// All amounts decay exponentially with the same time constant, so the sum of
+// decayed amounts is the decayed sum. Reports of different age can therefore be
+// added, and one amount per flow (peer_totals_) stands for the reports of all
+// boxes.
 #include "sparbend/core/fair_usage.h"
 
 #include <algorithm>
@@ -10,19 +11,19 @@
 namespace sparbend {
 namespace {
 
-// Fairness is judged over windows of some four seconds; a memory of half
-// that reacts within a window and still smooths single requests.
-constexpr double kFadeMs = 2'000;
-constexpr double kNegligible = 1;
+// Fairness is judged over windows of about four seconds. A time constant of
+// half of that reacts within a window and still smooths single requests.
+constexpr double kDecayMs = 2'000;
+constexpr double kMinReportedTokens = 1;
 
-auto Faded(double value, Millis at, Millis now) -> double {
-  return value * std::exp(-static_cast<double>((now - at).count()) / kFadeMs);
+auto Decayed(double value, Millis at, Millis now) -> double {
+  return value * std::exp(-static_cast<double>((now - at).count()) / kDecayMs);
 }
 
 }  // namespace
 
 void FairUsage::Add(double amount, Millis now, Amount* sum) {
-  sum->value = std::max(0.0, Faded(sum->value, sum->at, now) + amount);
+  sum->value = std::max(0.0, Decayed(sum->value, sum->at, now) + amount);
   sum->at = now;
 }
 
@@ -33,29 +34,29 @@
 void FairUsage::UpdateFromPeer(BoxId from,
                                const std::vector<FlowValue>& values,
                                Millis now) {
-  Word& word = words_[from];
-  for (const FlowValue& value : word.values)
-    Add(-Faded(static_cast<double>(value.value), word.at, now), now,
-        &told_[value.flow]);
-  word = Word{values, now};
+  PeerReport& report = peer_reports_[from];
+  for (const FlowValue& value : report.values)
+    Add(-Decayed(static_cast<double>(value.value), report.at, now), now,
+        &peer_totals_[value.flow]);
+  report = PeerReport{values, now};
   for (const FlowValue& value : values)
-    Add(static_cast<double>(value.value), now, &told_[value.flow]);
+    Add(static_cast<double>(value.value), now, &peer_totals_[value.flow]);
 }
 
 auto FairUsage::FadedAfter(int64_t value, Millis age) -> int64_t {
-  return std::llround(Faded(static_cast<double>(value), Millis(0), age));
+  return std::llround(Decayed(static_cast<double>(value), Millis(0), age));
 }
 
 void FairUsage::ClearPeerReports() {
-  words_.clear();
-  told_.clear();
+  peer_reports_.clear();
+  peer_totals_.clear();
 }
 
 auto FairUsage::ToldValues(Millis now) const -> std::vector<FlowValue> {
   std::vector<FlowValue> values;
-  for (const auto& [flow, amount] : told_) {
-    const double value = Faded(amount.value, amount.at, now);
-    if (value >= kNegligible)
+  for (const auto& [flow, amount] : peer_totals_) {
+    const double value = Decayed(amount.value, amount.at, now);
+    if (value >= kMinReportedTokens)
       values.push_back({flow, std::llround(value)});
   }
   return values;
@@ -66,7 +67,7 @@
   const auto found = amounts.find(flow);
   return found == amounts.end()
              ? 0
-             : Faded(found->second.value, found->second.at, now);
+             : Decayed(found->second.value, found->second.at, now);
 }
 
 auto FairUsage::OwnOf(Flow flow, Millis now) const -> int64_t {
@@ -74,7 +75,7 @@
 }
 
 auto FairUsage::Of(Flow flow, Millis now) const -> int64_t {
-  return std::llround(In(own_, flow, now) + In(told_, flow, now));
+  return std::llround(In(own_, flow, now) + In(peer_totals_, flow, now));
 }
 
 auto FairUsage::Amounts(PoolId pool, Millis now) const
@@ -82,7 +83,7 @@
   std::set<Flow> flows;
   for (const auto& [flow, amount] : own_)
     flows.insert(flow);
-  for (const auto& [flow, amount] : told_)
+  for (const auto& [flow, amount] : peer_totals_)
     flows.insert(flow);
   std::vector<FlowValue> amounts;
   for (const Flow flow : flows) {
@@ -92,17 +93,17 @@
   return amounts;
 }
 
-auto FairUsage::OwnValues(size_t most, Millis now) const
+auto FairUsage::OwnValues(size_t max_flows, Millis now) const
     -> std::vector<FlowValue> {
   std::vector<FlowValue> values;
   for (const auto& [flow, amount] : own_) {
-    const double value = Faded(amount.value, amount.at, now);
-    if (value >= kNegligible)
+    const double value = Decayed(amount.value, amount.at, now);
+    if (value >= kMinReportedTokens)
       values.push_back({flow, std::llround(value)});
   }
   std::ranges::sort(values, std::ranges::greater(), &FlowValue::value);
-  if (values.size() > most)
-    values.resize(most);
+  if (values.size() > max_flows)
+    values.resize(max_flows);
   return values;
 }
 
--- a/sparbend/core/fair_usage.h
+++ b/sparbend/core/fair_usage.h
@@ -1,10 +1,10 @@
-// How much each flow was served lately, over the whole fleet: amounts fade
-// with time, so that a flow which idles banks no credit and one which took
-// much is forgiven within seconds.
+// Tracks how many tokens each flow was served recently, over the whole fleet.
+// Amounts decay exponentially, so that an idle flow banks no credit, and a flow
+// that used much is treated like the others again after some seconds.
 //
-//   usage.Charge(flow, tokens, now);     // this box served it
-//   usage.Learn(peer, values, now);      // a peer's own amounts
-//   usage.Of(flow, now)                  // order of service: least first
+//   usage.Charge(flow, tokens, now);            // served by this box
+//   usage.UpdateFromPeer(peer, values, now);    // a peer's own amounts
+//   usage.Of(flow, now)                         // least-served flows go first
 #ifndef SPARBEND_CORE_FAIR_USAGE_H_
 #define SPARBEND_CORE_FAIR_USAGE_H_
 
@@ -19,46 +19,52 @@
 
 class FairUsage {
  public:
-  // Adds `amount` (tokens over share; negative takes back) to `flow`.
+  // Adds `amount` to the own amount of `flow`, in tokens divided by its share;
+  // a negative amount takes back an earlier charge.
   void Charge(Flow flow, int64_t amount, Millis now);
-  // The whole word of box `from`; flows it does not name are zero there.
+  // Replaces the amounts of box `from` by its full report. Flows that are not
+  // in `values` are zero there.
   void UpdateFromPeer(BoxId from,
                       const std::vector<FlowValue>& values,
                       Millis now);
-  // What is left of `value` after `age`.
+  // Returns what remains of `value` after `age`.
   static auto FadedAfter(int64_t value, Millis age) -> int64_t;
-  // Drops all words.
+  // Drops the reports of all peers.
   void ClearPeerReports();
-  // What all words come to, without the own amounts; those that matter.
+  // The sum of all peer reports per flow, without the own amounts. Leaves out
+  // amounts that have decayed to less than a token.
   auto ToldValues(Millis now) const -> std::vector<FlowValue>;
-  // This box's own part of it. O(log flows).
+  // This box's own amount of `flow`. O(log flows).
   auto OwnOf(Flow flow, Millis now) const -> int64_t;
-  // O(log flows).
+  // Own amount and peer reports of `flow` together. O(log flows).
   auto Of(Flow flow, Millis now) const -> int64_t;
   // The amounts of all flows of `pool`, in the order of their workspaces.
   auto Amounts(PoolId pool, Millis now) const -> std::vector<FlowValue>;
-  // Own amounts that matter, at most `most`, the largest first.
-  auto OwnValues(size_t most, Millis now) const -> std::vector<FlowValue>;
+  // Own amounts of at least a token, at most `max_flows`, the largest first.
+  auto OwnValues(size_t max_flows, Millis now) const -> std::vector<FlowValue>;
 
  private:
+  // A decaying amount: it was `value` at `at`.
   struct Amount {
     double value = 0;
     Millis at;
   };
 
-  // The last word of one box.
-  struct Word {
+  // The last report of one box.
+  struct PeerReport {
     std::vector<FlowValue> values;
     Millis at;
   };
 
   static void Add(double amount, Millis now, Amount* sum);
+  // The amount of `flow` in `amounts` at `now`; zero if there is none.
   static auto In(const std::map<Flow, Amount>& amounts, Flow flow, Millis now)
       -> double;
 
   std::map<Flow, Amount> own_;
-  std::map<BoxId, Word> words_;
-  std::map<Flow, Amount> told_;
+  std::map<BoxId, PeerReport> peer_reports_;
+  // The sum of peer_reports_ per flow.
+  std::map<Flow, Amount> peer_totals_;
 };
 
 }  // namespace sparbend
--- a/sparbend/core/ingress_scheduler.cc
+++ b/sparbend/core/ingress_scheduler.cc
@@ -1,13 +1,15 @@
-// Schedule goes through the flows in order of service received, the least
-// first, and gives each the best free slot it may use, until a whole pass
-// finds none. What is left of slots that may not be kept goes back at once.
+// Schedule goes through the flows in order of their normalised service, the
+// least-served first, and gives each the best free slot that it may use, until
+// a full pass finds none. Remaining slots that may not be retained are returned
+// at once.
 //
-// Which flow may use a slot that was called for (keep is off):
-//   - the one the grant was meant for, unless one that received less may;
-//   - under kHybrid any flow below the ceiling that the target's allocator
-//     tells: the least service waiting in the hall and some slack. The slot
-//     would come back to it anyway, and staying saves two messages and the
-//     time between them;
+// Which flow may use a slot that was revoked (`keep` is false):
+//   - the flow it was reserved for, unless a less-served flow that may use it
+//     takes it first;
+//   - under kHybrid any flow up to the slot keep limit that the target's
+//     allocator sends: the least normalised service of the flows queued in the
+//     hall, and some slack. The slot would come back to such a flow anyway, and
+//     retaining it saves two messages and the time between them;
 //   - under kLeases any flow, under kGrants no other.
 #include "sparbend/core/ingress_scheduler.h"
 
@@ -19,25 +21,29 @@
 
 constexpr std::array<std::string_view, 5> kPolicyNames = {
     "independent", "leases", "grants", "hybrid", "shared"};
-constexpr Millis kRetryAfterFull = Millis(1'000);
-constexpr Millis kRetryAfterNoTarget = Millis(2'000);
-constexpr int kTooManyRequests = 429;
-constexpr int kUnavailable = 503;
-constexpr int kForbidden = 403;
+constexpr Millis kFullRetryAfter = Millis(1'000);
+constexpr Millis kNoTargetRetryAfter = Millis(2'000);
+constexpr int kStatusTooManyRequests = 429;
+constexpr int kStatusUnavailable = 503;
+constexpr int kStatusForbidden = 403;
 
 auto RefusalOf(QueueFull full) -> Refusal {
   switch (full) {
     case QueueFull::kWorkspaceRequests:
-      return {kTooManyRequests, Verdict::kNotRun,
-              "too many requests of this workspace wait here", kRetryAfterFull};
+      return {
+          kStatusTooManyRequests, Verdict::kNotRun,
+          "the workspace has reached its limit of queued requests on this box",
+          kFullRetryAfter};
     case QueueFull::kWorkspaceBytes:
-      return {kTooManyRequests, Verdict::kNotRun,
-              "too many bytes of this workspace wait here", kRetryAfterFull};
+      return {kStatusTooManyRequests, Verdict::kNotRun,
+              "the workspace has reached its limit of queued bytes on this box",
+              kFullRetryAfter};
     case QueueFull::kBox:
       break;
   }
-  return {kUnavailable, Verdict::kNotRun, "too many requests wait here",
-          kRetryAfterFull};
+  return {kStatusUnavailable, Verdict::kNotRun,
+          "the box has reached its limit of queued requests or bytes",
+          kFullRetryAfter};
 }
 
 }  // namespace
@@ -53,11 +59,11 @@
   return static_cast<Policy>(found - kPolicyNames.begin());
 }
 
-IngressScheduler::IngressScheduler(ServiceCounters* ledger,
+IngressScheduler::IngressScheduler(ServiceCounters* service_counters,
                                    Policy policy,
                                    QueueLimits limits,
                                    const std::string& hall)
-    : ledger_(ledger),
+    : service_counters_(service_counters),
       policy_(policy),
       queues_(limits),
       catalog_(std::make_shared<Catalog>()),
@@ -65,15 +71,15 @@
 
 void IngressScheduler::SetCatalog(std::shared_ptr<const Catalog> catalog) {
   catalog_ = std::move(catalog);
-  ways_.clear();
+  routes_.clear();
   std::map<PoolId, PoolLimits> limits;
   for (const auto& [name, pool] : catalog_->pools()) {
     limits[PoolIdOf(name)] = {pool.memory_tokens, pool.connections,
                               pool.moved_tokens_per_ms,
                               pool.cold_requests_per_s};
     if (pool.kind == PoolKind::kEngine)
-      fair_parts_.SetCapacity(PoolIdOf(name),
-                              catalog_->limits().tokens_per_second);
+      fair_shares_.SetCapacity(PoolIdOf(name),
+                               catalog_->limits().tokens_per_second);
   }
   placement_.SetPools(std::move(limits));
 }
@@ -81,7 +87,7 @@
 void IngressScheduler::SetTargets(
     const std::vector<TargetAssignment>& targets) {
   targets_.clear();
-  ways_.clear();
+  routes_.clear();
   std::set<TargetId> usable;
   for (const TargetAssignment& target : targets) {
     targets_[target.view.id] = target;
@@ -98,7 +104,7 @@
 }
 
 void IngressScheduler::OnLoad(TargetId target, int running) {
-  loads_[target] = running;
+  reported_loads_[target] = running;
 }
 
 auto IngressScheduler::Permitted(Flow flow, const std::string& hall) const
@@ -107,52 +113,55 @@
   return workspace != nullptr && MayServeIn(*workspace, hall);
 }
 
-auto IngressScheduler::FindWays(Flow flow) const -> Ways {
+auto IngressScheduler::ComputeRoutes(Flow flow) const -> FlowRoutes {
   const Workspace* workspace = catalog_->FindWorkspace(flow.workspace);
   if (workspace == nullptr)
-    return {Refusal{kForbidden, Verdict::kNotRun, "the workspace is gone",
-                    Millis(0)},
-            {}};
+    return {
+        Refusal{kStatusForbidden, Verdict::kNotRun,
+                "the workspace is no longer in the configuration", Millis(0)},
+        {}};
   const bool may_use_pool = std::ranges::any_of(
       workspace->pools,
       [&](const std::string& pool) { return PoolIdOf(pool) == flow.pool; });
   if (!may_use_pool)
-    return {Refusal{kForbidden, Verdict::kNotRun,
+    return {Refusal{kStatusForbidden, Verdict::kNotRun,
                     "the workspace may not use this pool", Millis(0)},
             {}};
-  bool any = false;
+  bool any_target = false;
   std::set<BoxId> allocators;
   for (const auto& [id, target] : targets_) {
     if (target.view.pool != flow.pool || target.view.leaving ||
         !Permitted(flow, target.view.hall))
       continue;
-    any = true;
+    any_target = true;
     if (target.allocator)
       allocators.insert(*target.allocator);
   }
-  if (!any)
-    return {Refusal{kUnavailable, Verdict::kNotRun,
-                    "no target in the halls this workspace permits",
-                    kRetryAfterNoTarget},
-            {}};
+  if (!any_target)
+    return {
+        Refusal{
+            kStatusUnavailable, Verdict::kNotRun,
+            "no target of this pool in the halls that the workspace permits",
+            kNoTargetRetryAfter},
+        {}};
   return {std::nullopt, {allocators.begin(), allocators.end()}};
 }
 
-auto IngressScheduler::WaysOf(Flow flow) const -> const Ways& {
-  const auto found = ways_.find(flow);
-  return found != ways_.end()
+auto IngressScheduler::RoutesOf(Flow flow) const -> const FlowRoutes& {
+  const auto found = routes_.find(flow);
+  return found != routes_.end()
              ? found->second
-             : ways_.emplace(flow, FindWays(flow)).first->second;
+             : routes_.emplace(flow, ComputeRoutes(flow)).first->second;
 }
 
 auto IngressScheduler::WhyUnservable(Flow flow) const
     -> std::optional<Refusal> {
-  return WaysOf(flow).unservable;
+  return RoutesOf(flow).unservable;
 }
 
 auto IngressScheduler::WhyFull(const Workspace& workspace) const
     -> std::optional<Refusal> {
-  const std::optional<QueueFull> full = queues_.WhyFull(workspace, 0);
+  const std::optional<QueueFull> full = queues_.CheckLimits(workspace, 0);
   return full ? std::optional(RefusalOf(*full)) : std::nullopt;
 }
 
@@ -160,11 +169,11 @@
     -> std::optional<Refusal> {
   if (std::optional<Refusal> refusal = WhyUnservable(request.flow))
     return refusal;
-  if (const auto left = AllBackOff(request.flow, request.arrived)) {
-    if (auto refusal = WhyNotWait(request, *left, request.arrived))
+  if (const auto backoff = AllBackOff(request.flow, request.arrived)) {
+    if (auto refusal = CheckBackoffWait(request, *backoff, request.arrived))
       return refusal;
   }
-  if (std::optional<Refusal> refusal = WhyShedAtOnce(request)) {
+  if (std::optional<Refusal> refusal = CheckImmediateShed(request)) {
     Deny(request.flow, request.work, request.arrived);
     return refusal;
   }
@@ -180,9 +189,9 @@
 void IngressScheduler::Charge(Flow flow, int64_t tokens) {
   const Workspace* workspace = catalog_->FindWorkspace(flow.workspace);
   const int64_t share = workspace == nullptr ? 1 : workspace->share;
-  ledger_->Charge(flow, Normalised(tokens, share));
+  service_counters_->Charge(flow, Normalised(tokens, share));
   if (policy_ == Policy::kShared)
-    fair_parts_.Served(flow, tokens / std::max<int64_t>(1, share), now_);
+    fair_shares_.RecordServed(flow, tokens / std::max<int64_t>(1, share), now_);
 }
 
 void IngressScheduler::Start(const QueuedRequest& request,
@@ -230,14 +239,15 @@
 auto IngressScheduler::FreeAt(TargetId target) const -> int {
   if (policy_ != Policy::kIndependent)
     return leases_.Free(target);
-  // On its own a box can only split the slots evenly, or trust the target's
-  // last word on how busy it is.
+  // Without leases a box can only split the slots evenly among all boxes, or
+  // trust the last load that the target reported.
   const int slots = targets_.at(target).view.slots;
   const int own = leases_.InFlight(target);
-  const auto load = loads_.find(target);
-  const int even_part = std::max(1, (slots + boxes_ - 1) / boxes_);
-  const int reported_free = load == loads_.end() ? 0 : slots - load->second;
-  return std::max(even_part - own, own < slots ? reported_free : 0);
+  const auto load = reported_loads_.find(target);
+  const int even_share = std::max(1, (slots + boxes_ - 1) / boxes_);
+  const int reported_free =
+      load == reported_loads_.end() ? 0 : slots - load->second;
+  return std::max(even_share - own, own < slots ? reported_free : 0);
 }
 
 auto IngressScheduler::MayUse(Flow flow, const TargetAssignment& target) const
@@ -248,10 +258,10 @@
     return true;
   if (policy_ == Policy::kGrants || !target.allocator)
     return false;
-  const auto floor = floors_.find({*target.allocator, flow.pool});
-  if (floor == floors_.end())
+  const auto limit = slot_keep_limits_.find({*target.allocator, flow.pool});
+  if (limit == slot_keep_limits_.end())
     return true;
-  return ledger_->Service(flow) <= floor->second;
+  return service_counters_->Service(flow) <= limit->second;
 }
 
 auto IngressScheduler::Rank(const QueuedRequest& request, TargetId id) const
@@ -307,8 +317,8 @@
   std::vector<std::pair<int64_t, Flow>> order;
   for (const auto& [flow, queue] : queues_.queues())
     order.emplace_back(policy_ == Policy::kShared
-                           ? fair_parts_.ServedLately(flow, now)
-                           : ledger_->Service(flow),
+                           ? fair_shares_.ServedLately(flow, now)
+                           : service_counters_->Service(flow),
                        flow);
   std::ranges::sort(order);
   std::vector<Flow> flows;
@@ -336,14 +346,14 @@
       Start(request, *target, now);
       dispatches.push_back({request.id, *target, {}});
       progress = true;
-      break;  // the order of flows has changed
+      break;  // the order of the flows has changed
     }
   }
-  HandBack();
+  ReturnUnretainedSlots();
   return dispatches;
 }
 
-void IngressScheduler::HandBack() {
+void IngressScheduler::ReturnUnretainedSlots() {
   if (policy_ == Policy::kIndependent || policy_ == Policy::kShared)
     return;
   for (const TargetId target : leases_.free_targets()) {
@@ -372,12 +382,12 @@
   std::vector<std::pair<RequestId, Refusal>> taken;
   for (const auto& [flow, queue] : queues_.queues()) {
     const std::optional<Refusal> unservable = WhyUnservable(flow);
-    const std::optional<Millis> left = AllBackOff(flow, now);
-    if (!unservable && !left)
+    const std::optional<Millis> backoff = AllBackOff(flow, now);
+    if (!unservable && !backoff)
       continue;
     for (const QueuedRequest& request : queue) {
       const std::optional<Refusal> refusal =
-          unservable ? unservable : WhyNotWait(request, *left, now);
+          unservable ? unservable : CheckBackoffWait(request, *backoff, now);
       if (refusal)
         taken.emplace_back(request.id, *refusal);
     }
@@ -390,39 +400,39 @@
 void IngressScheduler::OnNotice(BoxId from,
                                 const LeaseNotice& notice,
                                 Millis now) {
-  int fresh = 0;
-  if (!leases_.OnNotice(from, notice, now, &fresh))
+  int new_grants = 0;
+  if (!leases_.OnNotice(from, notice, now, &new_grants))
     return;
   const auto target = targets_.find(notice.target);
   if (target == targets_.end())
     return;
   for (const WorkspaceId workspace : notice.meant_for)
-    demand_.OnGranted(from, {target->second.view.pool, workspace}, 1);
+    demand_reporter_.OnGranted(from, {target->second.view.pool, workspace}, 1);
 }
 
 void IngressScheduler::OnFloors(BoxId from,
-                                const std::vector<SlotKeepLimit>& floors) {
-  std::erase_if(floors_,
+                                const std::vector<SlotKeepLimit>& limits) {
+  std::erase_if(slot_keep_limits_,
                 [&](const auto& entry) { return entry.first.first == from; });
-  for (const SlotKeepLimit& floor : floors)
-    floors_[{from, floor.pool}] = floor.value;
+  for (const SlotKeepLimit& limit : limits)
+    slot_keep_limits_[{from, limit.pool}] = limit.value;
 }
 
 void IngressScheduler::UpdateDemand(Millis now) {
-  DemandTeller::Levels levels;
+  DemandReporter::FlowDemands demands;
   for (const auto& [flow, queue] : queues_.queues()) {
-    DemandTeller::Level level;
+    DemandReporter::FlowDemand flow_demand;
     const Workspace* workspace = catalog_->FindWorkspace(flow.workspace);
-    level.demand.flow = flow;
-    level.demand.queued = static_cast<uint32_t>(queue.size());
-    level.demand.age_ms = static_cast<uint32_t>(
+    flow_demand.demand.flow = flow;
+    flow_demand.demand.queued = static_cast<uint32_t>(queue.size());
+    flow_demand.demand.age_ms = static_cast<uint32_t>(
         std::max<int64_t>(0, (now - queue.front().arrived).count()));
-    level.demand.estimate = Normalised(
+    flow_demand.demand.estimate = Normalised(
         estimator_.Expected(flow), workspace == nullptr ? 1 : workspace->share);
-    level.allocators = WaysOf(flow).allocators;
-    levels[flow] = std::move(level);
+    flow_demand.allocators = RoutesOf(flow).allocators;
+    demands[flow] = std::move(flow_demand);
   }
-  demand_.Update(levels);
+  demand_reporter_.Update(demands);
 }
 
 }  // namespace sparbend
--- a/sparbend/core/ingress_scheduler.h
+++ b/sparbend/core/ingress_scheduler.h
@@ -1,10 +1,11 @@
-// The entry box's scheduling: its queues, the slots it holds, and the choice
-// which request goes to which target next. Requests are bound late, to a slot
-// that is free now. Also holds the other policies that the bench weighs.
+// Schedules the requests that an ingress box has accepted: holds its queues and
+// the slots leased to it, and chooses which request goes to which target next.
+// Requests are bound late, to a slot that is free now. Implements
+// several policies of how boxes share the slots of targets (Policy).
 //
-//   entry.Enqueue(request, now);           // or why not
-//   entry.Schedule(now) -> dispatches      // start these, now
-//   entry.Progress(id, tokens); entry.Finish(id, tokens);
+//   scheduler.Enqueue(request, now);           // or the reason for a refusal
+//   scheduler.Schedule(now) -> dispatches      // to be started now
+//   scheduler.Progress(id, tokens); scheduler.Finish(id, tokens);
 #ifndef SPARBEND_CORE_INGRESS_SCHEDULER_H_
 #define SPARBEND_CORE_INGRESS_SCHEDULER_H_
 
@@ -27,14 +28,14 @@
 
 namespace sparbend {
 
-// How slots come to requests; kHybrid is the product, the others are kept to
-// be measured against it (docs/SCHEDULING.md).
+// How requests get slots. kHybrid is the default; the others are kept for
+// comparison with it (docs/SCHEDULING.md).
 enum class Policy {
-  kIndependent,  // each box on its own: own fair queue, least loaded target
-  kLeases,       // slots stay with a box until called back
-  kGrants,       // every request needs a grant of its own
-  kHybrid,       // a slot stays while its box has the neediest work
-  kShared,       // each box chooses by loads that all tell each other
+  kIndependent,  // no exchange: own fair queue, least loaded target
+  kLeases,       // slots stay with a box until they are revoked
+  kGrants,       // every request needs its own grant
+  kHybrid,       // a slot stays while its box has the least-served flow
+  kShared,       // each box chooses by the loads that all boxes report
 };
 
 auto ToString(Policy policy) -> std::string_view;
@@ -43,7 +44,7 @@
 struct Dispatch {
   RequestId request = 0;
   TargetId target = 0;
-  // Why, under kShared; else only the target is set.
+  // The estimates behind the choice, under kShared; empty under other policies.
   Choice choice;
 
   auto operator==(const Dispatch&) const -> bool = default;
@@ -51,80 +52,99 @@
 
 class IngressScheduler {
  public:
-  // `ledger` must outlive the entry.
-  IngressScheduler(ServiceCounters* ledger,
+  // `service_counters` must outlive the scheduler.
+  IngressScheduler(ServiceCounters* service_counters,
                    Policy policy,
                    QueueLimits limits,
                    const std::string& hall);
 
   void SetCatalog(std::shared_ptr<const Catalog> catalog);
-  // All targets and, for each, the box that allocates it, if any lives.
+  // A target and the box that allocates its slots, if such a box is live.
   struct TargetAssignment {
     TargetView view;
     std::optional<BoxId> allocator;
   };
+  // Replaces the list of all targets.
   void SetTargets(const std::vector<TargetAssignment>& targets);
-  // How many boxes serve callers; used by kIndependent and kShared.
+  // Sets how many boxes accept client requests. Used by kIndependent and
+  // kShared.
   void SetBoxCount(int boxes) {
     boxes_ = boxes;
     placement_.SetBoxCount(boxes);
   }
-  // A target said how many requests it runs; used by kIndependent alone.
+  // Records how many requests `target` reported to run. Used by kIndependent
+  // only.
   void OnLoad(TargetId target, int running);
 
-  // Takes the request into its queue, or says why not. The refusal's verdict
-  // is not-run.
+  // Appends the request to its queue, or returns the reason for a refusal. The
+  // verdict of the refusal is not-run.
   auto Enqueue(const QueuedRequest& request) -> std::optional<Refusal>;
-  // A request of `flow` was refused for want of room, or since this box is
-  // behind its work: it counts as asked.
+  // Counts a refused request of `flow` as requested, so that the refusal enters
+  // the fair shares. For refusals because there was no capacity or because this
+  // box is saturated.
   void Deny(Flow flow, const WorkFacts& work, Millis now);
-  // The caller left or the request ended before dispatch; true if it waited.
+  // Removes a request whose client disconnected or that ended before its
+  // dispatch. Returns whether it was queued.
   auto Cancel(RequestId id) -> bool;
-  // Bytes of a dispatched request's answer came, the first or more.
+  // Records that a dispatched request received bytes of its answer, the first
+  // ones or more.
   void OnBytes(RequestId id, Millis now) { placement_.OnBytes(id, now); }
-  // A dispatched request did not run: back to the front of its queue, not to
-  // the same target again while another will do. It waits until `until`.
+  // Returns a dispatched request that did not run to the front of its queue. It
+  // expires at `until` or at its own expiry, whichever is later, and avoids its
+  // target while another can take it.
   void Requeue(RequestId id, Millis until);
-  // `tokens` of service so far; charges what exceeds the estimate.
+  // Records that a running request has used `tokens` of service so far, and
+  // charges what exceeds the estimate.
   void Progress(RequestId id, int64_t tokens);
-  // The request ended after `tokens` of service; its slot is free.
+  // Ends a request that used `tokens` of service: corrects its charge and frees
+  // its slot.
   void Finish(RequestId id, int64_t tokens);
 
-  // Starts the request at once if nothing else waits for its pool and a slot
-  // is held that may be kept: the way without contention, no decision pending.
+  // Starts the request at once if no request is queued and, except under
+  // kShared, a held slot may be retained. The fast path without contention.
   auto TryStart(const QueuedRequest& request, Millis now)
       -> std::optional<Dispatch>;
 
-  // Binds waiting requests to free slots and hands back what must not be
-  // kept. O(free targets * flows).
+  // Binds queued requests to free slots, and returns the slots that may not be
+  // retained. O(free targets * flows).
   auto Schedule(Millis now) -> std::vector<Dispatch>;
-  // Removes the requests whose time in the queue is up.
+  // Removes the requests that have expired in the queue.
   auto TakeExpired(Millis now) -> std::vector<RequestId>;
-  // Waiting requests of flows that had more than their fair part, once they
-  // have waited for long enough; with the refusal. Under kShared alone.
+  // Removes the queued requests of flows over their fair share that have waited
+  // for long enough, and returns them with their refusals. Used by kShared
+  // only.
   auto TakeShed(Millis now) -> std::vector<std::pair<RequestId, Refusal>>;
-  // Waiting requests no target can serve any more, or in time, with the reason.
+  // Removes the queued requests that no target can serve any more, or not in
+  // time, and returns them with their refusals.
   auto TakeUnservable(Millis now) -> std::vector<std::pair<RequestId, Refusal>>;
 
-  // An allocator's word on its leases and the least service waiting there.
+  // Handles a lease notice of an allocator.
   void OnNotice(BoxId from, const LeaseNotice& notice, Millis now);
-  void OnFloors(BoxId from, const std::vector<SlotKeepLimit>& floors);
+  // Replaces the slot keep limits of allocator `from`: per pool, the normalised
+  // service up to which a flow may keep a slot.
+  void OnFloors(BoxId from, const std::vector<SlotKeepLimit>& limits);
+  // Renews all leases of allocator `from`; each of its datagrams does.
   void RenewLeases(BoxId from, Millis now) { leases_.RenewLeases(from, now); }
-  void OnRestart(BoxId allocator) { demand_.Reset(allocator); }
+  // Records that `allocator` restarted without its state.
+  void OnRestart(BoxId allocator) { demand_reporter_.Reset(allocator); }
 
-  // Recomputes what allocators should know; then what to tell one of them.
+  // Recomputes the demand to report; then Demands and Reports return what to
+  // send to one allocator: what changed, or with `all` everything.
   void UpdateDemand(Millis now);
   auto Demands(BoxId allocator, bool all) {
-    return demand_.Next(allocator, all);
+    return demand_reporter_.Next(allocator, all);
   }
   auto Reports(BoxId allocator, bool all) {
     return leases_.Reports(allocator, all);
   }
+  // Whether a change should be sent to `allocator` before its next report is
+  // due.
   auto Urgent(BoxId allocator) const -> bool {
-    return leases_.Urgent(allocator) || demand_.Urgent(allocator);
+    return leases_.Urgent(allocator) ||
+           demand_reporter_.NeedsImmediateSend(allocator);
   }
 
-  // Whether no free slot has to be handed back.
+  // Whether no free slot has to be returned.
   auto KeepsSlots() const -> bool;
 
   auto queues() const -> const FlowQueues& { return queues_; }
@@ -133,77 +153,92 @@
   auto policy() const -> Policy { return policy_; }
   auto placement() -> Placement& { return placement_; }
   auto placement() const -> const Placement& { return placement_; }
-  auto fair_parts() -> FairShares& { return fair_parts_; }
+  auto fair_parts() -> FairShares& { return fair_shares_; }
 
-  // Why no further request of `workspace` would be taken now, or nothing.
-  // O(log workspaces); for refusing before the request is read.
+  // Returns the refusal if the queue limits admit no further request of
+  // `workspace` now. O(log workspaces); allows a refusal before the request is
+  // read.
   auto WhyFull(const Workspace& workspace) const -> std::optional<Refusal>;
-  // Why a workspace's request could not be served at all, or nothing.
+  // Returns the refusal if no target can serve the flow's requests at all.
   auto WhyUnservable(Flow flow) const -> std::optional<Refusal>;
+  // Whether the flow's workspace may be served in `hall`.
   auto Permitted(Flow flow, const std::string& hall) const -> bool;
 
  private:
   struct Running {
     QueuedRequest request;
     TargetId target = 0;
-    int64_t charged = 0;  // tokens
+    int64_t charged = 0;  // tokens charged to the flow
   };
 
-  // What the list and the catalog say of a flow; kept until either changes.
-  struct Ways {
+  // What the target list and the catalog say about a flow. Cached until either
+  // changes.
+  struct FlowRoutes {
     std::optional<Refusal> unservable;
-    std::vector<BoxId> allocators;  // of the targets it may use
+    std::vector<BoxId> allocators;  // of the targets that the flow may use
   };
-  auto WaysOf(Flow flow) const -> const Ways&;
-  auto FindWays(Flow flow) const -> Ways;
+  auto RoutesOf(Flow flow) const -> const FlowRoutes&;
+  auto ComputeRoutes(Flow flow) const -> FlowRoutes;
+  // The rank of a target for the request, higher is better: whether the request
+  // need not avoid it, then the number of its free slots. Nothing if the target
+  // can not be used.
   auto Rank(const QueuedRequest& request, TargetId id) const
       -> std::optional<std::pair<bool, int>>;
+  // Free slots of `target` that this box may use.
   auto FreeAt(TargetId target) const -> int;
+  // Whether the flow may use a slot of the target; see the .cc for the rules.
   auto MayUse(Flow flow, const TargetAssignment& target) const -> bool;
   auto ChooseTarget(const QueuedRequest& request) const
       -> std::optional<TargetId>;
+  // Flows with queued requests, the least-served first.
   auto FlowsByService(Millis now) const -> std::vector<Flow>;
   void Start(const QueuedRequest& request, TargetId target, Millis now);
-  // The policy kShared.
+  // These functions implement the policy kShared.
   auto ChooseShared(const QueuedRequest& request, Millis now) const
       -> std::optional<Choice>;
-  // Tokens that a request of `flow` is expected to cost.
+  // The number of tokens that a request of `flow` is expected to cost.
   auto EstimateOf(Flow flow, const WorkFacts& work) const -> int64_t;
   auto ScheduleShared(Millis now) -> std::vector<Dispatch>;
   auto TryStartShared(const QueuedRequest& request, Millis now)
       -> std::optional<Dispatch>;
-  auto StartFirstOf(Flow flow, Millis now, size_t* tries)
+  // Starts one queued request of `flow` if there is room for it; `*tries` is
+  // the number of requests that may still be tried in this pass.
+  auto StartOneOf(Flow flow, Millis now, size_t* tries)
       -> std::optional<Dispatch>;
-  auto OverFairPart(Flow flow, Millis now) const -> Refusal;
-  // How long until any target that `flow` may use wants requests again, if none
-  // does now.
+  auto OverFairShareRefusal(Flow flow, Millis now) const -> Refusal;
+  // Returns the time until the first target that `flow` may use accepts
+  // requests again, or nothing if one does now.
   auto AllBackOff(Flow flow, Millis now) const -> std::optional<Millis>;
-  // Why a request need not wait until then.
-  static auto WhyNotWait(const QueuedRequest& request, Millis left, Millis now)
-      -> std::optional<Refusal>;
-  // Why a request of a flow over its fair part need not even wait.
-  auto WhyShedAtOnce(const QueuedRequest& request) const
+  // Returns the refusal if the request would be late when all targets have
+  // backed off for another `backoff`.
+  static auto CheckBackoffWait(const QueuedRequest& request,
+                               Millis backoff,
+                               Millis now) -> std::optional<Refusal>;
+  // Returns the refusal if a request of a flow over its fair share is not to be
+  // queued at all.
+  auto CheckImmediateShed(const QueuedRequest& request) const
       -> std::optional<Refusal>;
   void Charge(Flow flow, int64_t tokens);
-  void HandBack();
+  // Returns the free slots that may not be retained to their allocators.
+  void ReturnUnretainedSlots();
 
-  ServiceCounters* ledger_;
+  ServiceCounters* service_counters_;
   Policy policy_;
   int boxes_ = 1;
   FlowQueues queues_;
   LeaseTable leases_;
-  DemandTeller demand_;
+  DemandReporter demand_reporter_;
   Estimator estimator_;
   std::shared_ptr<const Catalog> catalog_;
   std::map<TargetId, TargetAssignment> targets_;
-  mutable std::map<Flow, Ways> ways_;
-  std::map<TargetId, int> loads_;
-  std::map<std::pair<BoxId, PoolId>, int64_t> floors_;
+  mutable std::map<Flow, FlowRoutes> routes_;
+  std::map<TargetId, int> reported_loads_;
+  std::map<std::pair<BoxId, PoolId>, int64_t> slot_keep_limits_;
   std::map<RequestId, Running> running_;
   Placement placement_;
-  FairShares fair_parts_;
-  Millis now_;          // of the last call that told it
-  Millis shared_pass_;  // when waiting requests were last gone through
+  FairShares fair_shares_;
+  Millis now_;               // time of the last started request
+  Millis last_shared_pass_;  // time of the last pass of ScheduleShared
 };
 
 }  // namespace sparbend
--- a/sparbend/core/ingress_scheduler_shared.cc
+++ b/sparbend/core/ingress_scheduler_shared.cc
@@ -1,10 +1,12 @@
-// The policy kShared: no leases. Each box sends at once where Placement finds
-// room; what finds none waits, and the flows that were served least lately go
-// first. A flow that had more than its fair part only gets what is to spare, so
-// that its excess delays nobody, and what finds nothing to spare is refused
-// soon. Passes over waiting requests are at least kPassInterval apart: under
-// overload there is something to look at with every answer that ends, and a
-// pass costs flows * scanned requests * targets.
+// The policy kShared, which works without leases. Each box sends a request at
+// once if Placement finds room for it; otherwise the request is queued, and the
+// flows with the least recent service go first. A flow over its fair share only
+// gets spare capacity, so that its excess delays no other flow, and its
+// requests are soon refused if there is none.
+//
+// Passes over the queued requests are at least kPassInterval apart: under
+// overload each answer that ends frees capacity, and a pass costs O(flows *
+// scanned requests * targets).
 #include <algorithm>
 #include <set>
 
@@ -14,38 +16,39 @@
 namespace {
 
 constexpr Millis kPassInterval = Millis(10);
-// A request of a flow over its fair part is refused after this part of its
-// objective, in percent, unless something becomes free: what is to spare comes
-// and goes with each answer, and a caller told early may still be in time
-// elsewhere (mean worth of five days: 0.692 at 22%, 0.711 at 12%, 0.723 at 5%,
-// 0.718 at once).
-constexpr int64_t kShedPercent = 5;
-constexpr int kTooManyRequests = 429;
-constexpr int kUnavailable = 503;
-// Waiting requests of one flow that are looked at in a pass: one that has no
-// room must not keep back a smaller one behind it for long.
-constexpr size_t kScanned = 8;
-// Requests of a flow over its fair part that may wait in one box: what is
-// refused at once costs neither memory nor passes, and its caller asks another
-// box the sooner.
-constexpr size_t kMostWaitingOver = 8;
-// Requests looked at in one pass: each costs some microseconds a hundred
-// targets, and a box of an eighth of a core has other things to do.
-constexpr size_t kMostTries = 64;
+// A request of a flow over its fair share is refused after this percentage of
+// its objective, unless capacity becomes free. Spare capacity comes and goes
+// with each answer, and a client that is refused early may still be served
+// elsewhere in time.
+constexpr int64_t kShedObjectivePercent = 5;
+constexpr int kStatusTooManyRequests = 429;
+constexpr int kStatusUnavailable = 503;
+// Maximum number of queued requests of one flow that are tried in a pass: a
+// request that has no room must not delay a smaller one behind it for long.
+constexpr size_t kMaxScannedRequestsPerFlow = 8;
+// Maximum number of queued requests per box of a flow over its fair share. An
+// immediate refusal costs neither memory nor passes, and the client tries
+// another box sooner.
+constexpr size_t kMaxQueuedOverFairShare = 8;
+// Maximum number of requests tried in one pass. Each costs some microseconds
+// per hundred targets, and a box may have only an eighth of a core for all its
+// work.
+constexpr size_t kMaxTriesPerPass = 64;
 
 }  // namespace
 
-auto IngressScheduler::OverFairPart(Flow flow, Millis now) const -> Refusal {
-  const FairShares::Standing standing = fair_parts_.StandingOf(flow, now);
-  return {kTooManyRequests, Verdict::kNotRun,
-          "the workspace had more than its fair part, and nothing is to spare: "
-          "it was served " +
-              std::to_string(standing.served) +
-              " tokens lately, is judged by " +
-              std::to_string(standing.judged) + ", may take " +
-              std::to_string(standing.ceiling) + ", is owed " +
-              std::to_string(standing.owed),
-          placement_.Relief(flow.pool, now)};
+auto IngressScheduler::OverFairShareRefusal(Flow flow, Millis now) const
+    -> Refusal {
+  const FairShares::FlowState state = fair_shares_.StateOf(flow, now);
+  return {
+      kStatusTooManyRequests, Verdict::kNotRun,
+      "the workspace exceeded its fair share and there is no spare capacity "
+      "(in tokens over its share, -1: no bound): recently served " +
+          std::to_string(state.served) + ", estimated current service " +
+          std::to_string(state.estimated) + ", limit " +
+          std::to_string(state.ceiling) + ", entitlement " +
+          std::to_string(state.entitled),
+      placement_.Relief(flow.pool, now)};
 }
 
 auto IngressScheduler::AllBackOff(Flow flow, Millis now) const
@@ -57,18 +60,20 @@
       now);
 }
 
-// It would be late by then. Its caller may be served elsewhere meanwhile, or
-// come back when there is room.
-auto IngressScheduler::WhyNotWait(const QueuedRequest& request,
-                                  Millis left,
-                                  Millis now) -> std::optional<Refusal> {
+// The request would be late by then. Its client may be served elsewhere in the
+// meantime, or retry when there is room.
+auto IngressScheduler::CheckBackoffWait(const QueuedRequest& request,
+                                        Millis backoff,
+                                        Millis now) -> std::optional<Refusal> {
   const Millis due = request.work.first_byte_due;
-  const Millis useful =
+  const Millis latest_useful =
       due > Millis(0) ? std::min(due, request.expires) : request.expires;
-  if (now + left < useful)
+  if (now + backoff < latest_useful)
     return std::nullopt;
-  return Refusal{kUnavailable, Verdict::kNotRun,
-                 "all targets turn requests away for now", left};
+  return Refusal{
+      kStatusUnavailable, Verdict::kNotRun,
+      "all targets that the workspace may use have asked to retry later",
+      backoff};
 }
 
 auto IngressScheduler::EstimateOf(Flow flow, const WorkFacts& work) const
@@ -80,23 +85,23 @@
 void IngressScheduler::Deny(Flow flow, const WorkFacts& work, Millis now) {
   const Workspace* workspace = catalog_->FindWorkspace(flow.workspace);
   const int64_t share = workspace == nullptr ? 1 : workspace->share;
-  fair_parts_.Denied(flow, EstimateOf(flow, work) / std::max<int64_t>(1, share),
-                     now);
+  fair_shares_.RecordDenied(
+      flow, EstimateOf(flow, work) / std::max<int64_t>(1, share), now);
 }
 
-// What waits already will use up whatever becomes free in time for one more.
-// One that came back too late to be in time would take the place of one that
-// still can be.
-auto IngressScheduler::WhyShedAtOnce(const QueuedRequest& request) const
+// The requests already queued will use whatever becomes free before one more
+// could be served in time. A retry that arrives after its due time would take
+// the place of a request that can still be in time.
+auto IngressScheduler::CheckImmediateShed(const QueuedRequest& request) const
     -> std::optional<Refusal> {
   const bool no_objective = request.work.first_byte_due <= Millis(0);
   if (policy_ != Policy::kShared || no_objective ||
-      fair_parts_.Excess(request.flow, request.arrived) < 1)
+      fair_shares_.RatioToFairShare(request.flow, request.arrived) < 1)
     return std::nullopt;
   const bool late = request.work.first_byte_due <= request.arrived;
-  if (!late && queues_.Count(request.flow) < kMostWaitingOver)
+  if (!late && queues_.Count(request.flow) < kMaxQueuedOverFairShare)
     return std::nullopt;
-  return OverFairPart(request.flow, request.arrived);
+  return OverFairShareRefusal(request.flow, request.arrived);
 }
 
 auto IngressScheduler::TakeShed(Millis now)
@@ -104,15 +109,16 @@
   std::vector<std::pair<RequestId, Refusal>> shed;
   if (policy_ != Policy::kShared)
     return shed;
-  for (const auto& [flow, waiting] : queues_.queues()) {
-    if (fair_parts_.Excess(flow, now) < 1)
+  for (const auto& [flow, queue] : queues_.queues()) {
+    if (fair_shares_.RatioToFairShare(flow, now) < 1)
       continue;
-    for (const QueuedRequest& request : waiting) {
-      const bool long_waited = (now - request.arrived).count() * 100 >=
-                               request.work.objective.count() * kShedPercent;
+    for (const QueuedRequest& request : queue) {
+      const bool shed_due =
+          (now - request.arrived).count() * 100 >=
+          request.work.objective.count() * kShedObjectivePercent;
       if (request.work.objective > Millis(0) && request.avoid.empty() &&
-          long_waited)
-        shed.emplace_back(request.id, OverFairPart(flow, now));
+          shed_due)
+        shed.emplace_back(request.id, OverFairShareRefusal(flow, now));
     }
   }
   for (const auto& [id, refusal] : shed) {
@@ -132,7 +138,7 @@
       [workspace](const std::string& hall) {
         return MayServeIn(*workspace, hall);
       },
-      fair_parts_.Excess(request.flow, now), now);
+      fair_shares_.RatioToFairShare(request.flow, now), now);
 }
 
 auto IngressScheduler::TryStartShared(const QueuedRequest& request, Millis now)
@@ -145,20 +151,22 @@
   return Dispatch{request.id, choice->target, *choice};
 }
 
-auto IngressScheduler::StartFirstOf(Flow flow, Millis now, size_t* tries)
+auto IngressScheduler::StartOneOf(Flow flow, Millis now, size_t* tries)
     -> std::optional<Dispatch> {
   const auto found = queues_.queues().find(flow);
-  const double excess = fair_parts_.Excess(flow, now);
+  const double fair_share_ratio = fair_shares_.RatioToFairShare(flow, now);
   if (found == queues_.queues().end() ||
-      (excess >= 1 && !placement_.AnySpare(flow.pool, excess, now)))
+      (fair_share_ratio >= 1 &&
+       !placement_.AnySpare(flow.pool, fair_share_ratio, now)))
     return std::nullopt;
-  const auto& waiting = found->second;
-  const size_t count = std::min({waiting.size(), kScanned, *tries});
+  const auto& queue = found->second;
+  const size_t count =
+      std::min({queue.size(), kMaxScannedRequestsPerFlow, *tries});
   for (size_t i = 0; i < count; ++i) {
-    // Those that have waited longest may all be late; they must not keep back
-    // the newest, which can still be in time.
-    const size_t place = i % 2 == 0 ? i / 2 : waiting.size() - 1 - i / 2;
-    const QueuedRequest request = waiting[place];
+    // Alternates between the oldest and the newest: the oldest may all be late
+    // and must not delay the newest, which can still be in time.
+    const size_t index = i % 2 == 0 ? i / 2 : queue.size() - 1 - i / 2;
+    const QueuedRequest request = queue[index];
     --*tries;
     const std::optional<Dispatch> dispatch = TryStartShared(request, now);
     if (!dispatch)
@@ -172,23 +180,23 @@
 auto IngressScheduler::ScheduleShared(Millis now) -> std::vector<Dispatch> {
   std::vector<Dispatch> dispatches;
   placement_.Expire(now);
-  if (queues_.total() == 0 || now - shared_pass_ < kPassInterval)
+  if (queues_.total() == 0 || now - last_shared_pass_ < kPassInterval)
     return dispatches;
-  shared_pass_ = now;
-  // The flow served least goes first; one that got something takes its new
-  // place, one that found no room is out for this pass.
+  last_shared_pass_ = now;
+  // The least-served flow goes first. A flow that was served is inserted again
+  // by its new service; one that found no room is left out of this pass.
   std::set<std::pair<int64_t, Flow>> order;
-  for (const auto& [flow, waiting] : queues_.queues())
-    order.emplace(fair_parts_.ServedLately(flow, now), flow);
-  size_t tries = kMostTries;
+  for (const auto& [flow, queue] : queues_.queues())
+    order.emplace(fair_shares_.ServedLately(flow, now), flow);
+  size_t tries = kMaxTriesPerPass;
   while (!order.empty() && tries > 0) {
     const Flow flow = order.begin()->second;
     order.erase(order.begin());
-    const std::optional<Dispatch> dispatch = StartFirstOf(flow, now, &tries);
+    const std::optional<Dispatch> dispatch = StartOneOf(flow, now, &tries);
     if (!dispatch)
       continue;
     dispatches.push_back(*dispatch);
-    order.emplace(fair_parts_.ServedLately(flow, now), flow);
+    order.emplace(fair_shares_.ServedLately(flow, now), flow);
   }
   return dispatches;
 }
--- a/sparbend/core/queue.h
+++ b/sparbend/core/queue.h
@@ -1,5 +1,5 @@
-// The requests that wait in one box, a first-in-first-out queue per flow,
-// bounded per workspace and in all, in count and in bytes.
+// The queued requests of one box: a first-in-first-out queue per flow, bounded
+// per workspace and in total, in count and in bytes.
 #ifndef SPARBEND_CORE_QUEUE_H_
 #define SPARBEND_CORE_QUEUE_H_
 
@@ -22,17 +22,17 @@
 struct QueuedRequest {
   RequestId id = 0;
   Flow flow;
-  int64_t bytes = 0;  // memory it holds while it waits
+  int64_t bytes = 0;  // memory it holds while it is queued
   Millis arrived;
-  Millis expires;            // refused when still waiting then
-  uint64_t prefix = 0;       // hash of the prompt's start; 0: none
-  std::set<TargetId> avoid;  // targets that failed it before
-  WorkFacts work;            // its size, as far as it was told
+  Millis expires;            // refused if still queued then
+  uint64_t prefix = 0;       // hash of the prompt's first part; 0: none
+  std::set<TargetId> avoid;  // targets that failed it in earlier attempts
+  WorkFacts work;            // its size, as far as the client sent it
 
   auto operator==(const QueuedRequest&) const -> bool = default;
 };
 
-// Bounds over all flows of the box.
+// Limits over all flows of the box.
 struct QueueLimits {
   int64_t requests = 20'000;
   int64_t bytes = 268'435'456;
@@ -44,29 +44,32 @@
  public:
   explicit FlowQueues(QueueLimits limits) : limits_(limits) {}
 
-  // Appends, unless a bound would be passed; then says which.
+  // Appends the request unless a limit would be exceeded; then returns which.
   auto Push(const QueuedRequest& request, const Workspace& workspace)
       -> std::optional<QueueFull>;
-  // The bound that one more request of `bytes` would pass, if any.
-  auto WhyFull(const Workspace& workspace, int64_t bytes) const
+  // Returns the limit that one more request of `bytes` would exceed, if any.
+  auto CheckLimits(const Workspace& workspace, int64_t bytes) const
       -> std::optional<QueueFull>;
-  // Puts a request that was taken and did not run back to the front. Not
-  // bounded: it was within the bounds when it came.
+  // Returns a request that was dispatched and did not run to the front of its
+  // queue. Ignores the limits: it was within them when it was pushed.
   void PushFront(const QueuedRequest& request);
 
-  // Removes the request if it waits here; it is returned.
+  // Removes and returns the request if it is queued here. O(length of its
+  // queue).
   auto Remove(RequestId id) -> std::optional<QueuedRequest>;
-  // The request that has waited longest in `flow`, or null.
+  // The oldest request in the queue of `flow`, or null. Valid until the next
+  // change.
   auto Front(Flow flow) const -> const QueuedRequest*;
 
+  // Number of queued requests of `flow`.
   auto Count(Flow flow) const -> size_t;
-  auto total() const -> size_t { return flows_of_.size(); }
+  auto total() const -> size_t { return flow_by_request_.size(); }
   auto bytes() const -> int64_t { return bytes_; }
   auto queues() const -> const std::map<Flow, std::deque<QueuedRequest>>& {
     return queues_;
   }
 
-  // Removes and returns the requests whose time is up at `now`.
+  // Removes and returns the requests that have expired at `now`.
   auto TakeExpired(Millis now) -> std::vector<QueuedRequest>;
 
  private:
@@ -75,13 +78,15 @@
     int64_t bytes = 0;
   };
 
+  // Adds the request to the totals and the indexes (`sign` is 1), or removes it
+  // (-1).
   void Count(const QueuedRequest& request, int sign);
 
   QueueLimits limits_;
   int64_t bytes_ = 0;
   std::map<Flow, std::deque<QueuedRequest>> queues_;
-  std::map<WorkspaceId, Usage> usage_;
-  std::map<RequestId, Flow> flows_of_;
+  std::map<WorkspaceId, Usage> usage_by_workspace_;
+  std::map<RequestId, Flow> flow_by_request_;
   std::set<std::pair<Millis, RequestId>> expiries_;
 };
 
