--- a/sparbend/core/ingress_scheduler.h
+++ b/sparbend/core/ingress_scheduler.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "sparbend/core/catalog.h"
-#include "sparbend/core/demand.h"
+#include "sparbend/core/demand_reporter.h"
 #include "sparbend/core/estimator.h"
 #include "sparbend/core/fair_shares.h"
 #include "sparbend/core/lease_table.h"
