--- a/sparbend/core/fair_shares.cc
+++ b/sparbend/core/fair_shares.cc
@@ -108,7 +108,7 @@
   for (const FlowValue& served : served_.Amounts(pool, now))
     requested[served.flow] = served.value;
   for (const FlowValue& denied : denied_.Amounts(pool, now)) {
-    const int64_t served = served_.Of(denied.flow, now);
+    const int64_t served = served_.ValueOf(denied.flow, now);
     const int64_t unserved = denied.value / kDenialsPerRequest;
     requested[denied.flow] += unserved;
     if (denied.value >= kMinDeniedTokens && unserved > served)
@@ -173,15 +173,15 @@
 // gets about one and a half times as much as the one that arrives through two.
 auto FairShares::EstimatedService(Flow flow, double ceiling, Millis now) const
     -> double {
-  const auto reported = static_cast<double>(served_.Of(flow, now));
-  const auto own = static_cast<double>(served_.OwnOf(flow, now));
+  const auto reported = static_cast<double>(served_.ValueOf(flow, now));
+  const auto own = static_cast<double>(served_.OwnValueOf(flow, now));
   const auto requested = [](int64_t served, int64_t denied) {
     return static_cast<double>(served + denied / kDenialsPerRequest);
   };
   const double requested_here =
-      requested(served_.OwnOf(flow, now), denied_.OwnOf(flow, now));
+      requested(served_.OwnValueOf(flow, now), denied_.OwnValueOf(flow, now));
   const double requested_in_fleet =
-      requested(served_.Of(flow, now), denied_.Of(flow, now));
+      requested(served_.ValueOf(flow, now), denied_.ValueOf(flow, now));
   if (requested_here <= 0)
     return reported;
   // The number of boxes that the flow arrives through, if it arrived evenly.
@@ -204,7 +204,7 @@
   const double ceiling = CeilingOf(levels);
   const auto bounded = static_cast<double>(std::numeric_limits<int32_t>::max());
   FlowState state;
-  state.served = served_.Of(flow, now);
+  state.served = served_.ValueOf(flow, now);
   state.estimated = std::llround(EstimatedService(flow, ceiling, now));
   if (ceiling < bounded)
     state.ceiling = static_cast<int64_t>(ceiling);
--- a/sparbend/core/fair_usage.cc
+++ b/sparbend/core/fair_usage.cc
@@ -70,11 +70,11 @@
              : Decayed(found->second.value, found->second.at, now);
 }
 
-auto FairUsage::OwnOf(Flow flow, Millis now) const -> int64_t {
+auto FairUsage::OwnValueOf(Flow flow, Millis now) const -> int64_t {
   return std::llround(In(own_, flow, now));
 }
 
-auto FairUsage::Of(Flow flow, Millis now) const -> int64_t {
+auto FairUsage::ValueOf(Flow flow, Millis now) const -> int64_t {
   return std::llround(In(own_, flow, now) + In(peer_totals_, flow, now));
 }
 
@@ -88,7 +88,7 @@
   std::vector<FlowValue> amounts;
   for (const Flow flow : flows) {
     if (flow.pool == pool)
-      amounts.push_back({flow, Of(flow, now)});
+      amounts.push_back({flow, ValueOf(flow, now)});
   }
   return amounts;
 }
--- a/sparbend/core/fair_usage.h
+++ b/sparbend/core/fair_usage.h
@@ -2,9 +2,9 @@
 // Amounts decay exponentially, so that an idle flow banks no credit, and a flow
 // that used much is treated like the others again after some seconds.
 //
-//   usage.Charge(flow, tokens, now);            // served by this box
-//   usage.UpdateFromPeer(peer, values, now);    // a peer's own amounts
-//   usage.Of(flow, now)                         // least-served flows go first
+//   usage.Charge(flow, tokens, now);          // served by this box
+//   usage.UpdateFromPeer(peer, values, now);  // a peer's own amounts
+//   usage.ValueOf(flow, now)                  // least-served flows go first
 #ifndef SPARBEND_CORE_FAIR_USAGE_H_
 #define SPARBEND_CORE_FAIR_USAGE_H_
 
@@ -35,9 +35,9 @@
   // amounts that have decayed to less than a token.
   auto ToldValues(Millis now) const -> std::vector<FlowValue>;
   // This box's own amount of `flow`. O(log flows).
-  auto OwnOf(Flow flow, Millis now) const -> int64_t;
+  auto OwnValueOf(Flow flow, Millis now) const -> int64_t;
   // Own amount and peer reports of `flow` together. O(log flows).
-  auto Of(Flow flow, Millis now) const -> int64_t;
+  auto ValueOf(Flow flow, Millis now) const -> int64_t;
   // The amounts of all flows of `pool`, in the order of their workspaces.
   auto Amounts(PoolId pool, Millis now) const -> std::vector<FlowValue>;
   // Own amounts of at least a token, at most `max_flows`, the largest first.
--- a/sparbend/core/fair_usage_test.cc
+++ b/sparbend/core/fair_usage_test.cc
@@ -17,18 +17,18 @@
 TEST(FairUsage, AddsOwnAmountsAndPeerReportsAndDecays) {
   usage.Charge(kFlowA, 1'000, Millis(0));
   usage.UpdateFromPeer(7, {{kFlowA, 500}, {kFlowB, 300}}, Millis(0));
-  LONGS_EQUAL(1'500, usage.Of(kFlowA, Millis(0)));
+  LONGS_EQUAL(1'500, usage.ValueOf(kFlowA, Millis(0)));
   int64_t sum = 0;
   const auto amounts = usage.Amounts(kEnginePool, Millis(0));
   for (const FlowValue& amount : amounts)
     sum += amount.value;
   LONGS_EQUAL(900, sum / static_cast<int64_t>(amounts.size()));
   CHECK(usage.Amounts(kServicePool, Millis(0)).empty());
-  CHECK(usage.Of(kFlowA, Millis(2'000)) < 600);
+  CHECK(usage.ValueOf(kFlowA, Millis(2'000)) < 600);
   usage.UpdateFromPeer(7, {}, Millis(0));
-  LONGS_EQUAL(0, usage.Of(kFlowB, Millis(0)));
+  LONGS_EQUAL(0, usage.ValueOf(kFlowB, Millis(0)));
   usage.Charge(kFlowA, -5'000, Millis(0));
-  LONGS_EQUAL(0, usage.Of(kFlowA, Millis(0)));
+  LONGS_EQUAL(0, usage.ValueOf(kFlowA, Millis(0)));
 }
 
 TEST(FairUsage, OwnValuesStartWithTheLargest) {
--- a/sparbend/core/ingress_scheduler.h
+++ b/sparbend/core/ingress_scheduler.h
@@ -83,15 +83,15 @@
   // the fair shares. For refusals because there was no capacity or because this
   // box is saturated.
   void Deny(Flow flow, const WorkFacts& work, Millis now);
-  // Removes a request whose client disconnected or that ended before its
-  // dispatch. Returns whether it was queued.
+  // Removes a request whose client disconnected, or that ended otherwise before
+  // its dispatch. Returns whether it was queued.
   auto Cancel(RequestId id) -> bool;
   // Records that a dispatched request received bytes of its answer, the first
   // ones or more.
   void OnBytes(RequestId id, Millis now) { placement_.OnBytes(id, now); }
-  // Returns a dispatched request that did not run to the front of its queue. It
-  // expires at `until` or at its own expiry, whichever is later, and avoids its
-  // target while another can take it.
+  // Puts a dispatched request that did not run back at the front of its queue.
+  // It expires at `until` or at its own expiry, whichever is later, and avoids
+  // its target while another can take it.
   void Requeue(RequestId id, Millis until);
   // Records that a running request has used `tokens` of service so far, and
   // charges what exceeds the estimate.
@@ -105,14 +105,16 @@
   auto TryStart(const QueuedRequest& request, Millis now)
       -> std::optional<Dispatch>;
 
-  // Binds queued requests to free slots, and returns the slots that may not be
-  // retained. O(free targets * flows).
+  // Binds queued requests to free slots, and returns what to start. Gives the
+  // slots that may not be retained back to their allocators. O(free targets *
+  // flows).
   auto Schedule(Millis now) -> std::vector<Dispatch>;
-  // Removes the requests that have expired in the queue.
+  // Removes the requests that have expired in the queue, counts them as
+  // refused, and returns their ids.
   auto TakeExpired(Millis now) -> std::vector<RequestId>;
   // Removes the queued requests of flows over their fair share that have waited
-  // for long enough, and returns them with their refusals. Used by kShared
-  // only.
+  // for long enough, counts them as refused, and returns them with their
+  // refusals. Used by kShared only.
   auto TakeShed(Millis now) -> std::vector<std::pair<RequestId, Refusal>>;
   // Removes the queued requests that no target can serve any more, or not in
   // time, and returns them with their refusals.
@@ -219,7 +221,7 @@
   auto CheckImmediateShed(const QueuedRequest& request) const
       -> std::optional<Refusal>;
   void Charge(Flow flow, int64_t tokens);
-  // Returns the free slots that may not be retained to their allocators.
+  // Gives the free slots that may not be retained back to their allocators.
   void ReturnUnretainedSlots();
 
   ServiceCounters* service_counters_;
--- a/sparbend/core/queue.h
+++ b/sparbend/core/queue.h
@@ -35,9 +35,11 @@
 // Limits over all flows of the box.
 struct QueueLimits {
   int64_t requests = 20'000;
-  int64_t bytes = 268'435'456;
+  int64_t bytes = 268'435'456;  // 256 MiB
 };
 
+// The limit that would be exceeded: of the workspace, in requests or bytes, or
+// of the whole box.
 enum class QueueFull { kWorkspaceRequests, kWorkspaceBytes, kBox };
 
 class FlowQueues {
@@ -50,8 +52,8 @@
   // Returns the limit that one more request of `bytes` would exceed, if any.
   auto CheckLimits(const Workspace& workspace, int64_t bytes) const
       -> std::optional<QueueFull>;
-  // Returns a request that was dispatched and did not run to the front of its
-  // queue. Ignores the limits: it was within them when it was pushed.
+  // Puts a request that was dispatched but did not run back at the front of its
+  // queue. Ignores the limits: the request was within them when it was pushed.
   void PushFront(const QueuedRequest& request);
 
   // Removes and returns the request if it is queued here. O(length of its
@@ -80,7 +82,7 @@
 
   // Adds the request to the totals and the indexes (`sign` is 1), or removes it
   // (-1).
-  void Count(const QueuedRequest& request, int sign);
+  void UpdateTotals(const QueuedRequest& request, int sign);
 
   QueueLimits limits_;
   int64_t bytes_ = 0;
