--- a/sparbend/core/fair_shares.h
+++ b/sparbend/core/fair_shares.h
@@ -50,7 +50,7 @@
   }
 
   // Decayed service of `flow` over the whole fleet.
-  auto ServedLately(Flow flow, Millis now) const -> int64_t {
+  auto RecentService(Flow flow, Millis now) const -> int64_t {
     return served_.ValueOf(flow, now);
   }
   // Service of `flow` divided by its fair share. From 1 on the flow may only
--- a/sparbend/core/fair_usage.cc
+++ b/sparbend/core/fair_usage.cc
@@ -43,7 +43,7 @@
     Add(static_cast<double>(value.value), now, &peer_totals_[value.flow]);
 }
 
-auto FairUsage::FadedAfter(int64_t value, Millis age) -> int64_t {
+auto FairUsage::DecayedAfter(int64_t value, Millis age) -> int64_t {
   return std::llround(Decayed(static_cast<double>(value), Millis(0), age));
 }
 
@@ -52,7 +52,7 @@
   peer_totals_.clear();
 }
 
-auto FairUsage::ToldValues(Millis now) const -> std::vector<FlowValue> {
+auto FairUsage::PeerValues(Millis now) const -> std::vector<FlowValue> {
   std::vector<FlowValue> values;
   for (const auto& [flow, amount] : peer_totals_) {
     const double value = Decayed(amount.value, amount.at, now);
--- a/sparbend/core/fair_usage.h
+++ b/sparbend/core/fair_usage.h
@@ -28,12 +28,12 @@
                       const std::vector<FlowValue>& values,
                       Millis now);
   // Returns what remains of `value` after `age`.
-  static auto FadedAfter(int64_t value, Millis age) -> int64_t;
+  static auto DecayedAfter(int64_t value, Millis age) -> int64_t;
   // Drops the reports of all peers.
   void ClearPeerReports();
   // The sum of all peer reports per flow, without the own amounts. Leaves out
   // amounts that have decayed to less than a token.
-  auto ToldValues(Millis now) const -> std::vector<FlowValue>;
+  auto PeerValues(Millis now) const -> std::vector<FlowValue>;
   // This box's own amount of `flow`. O(log flows).
   auto OwnValueOf(Flow flow, Millis now) const -> int64_t;
   // Own amount and peer reports of `flow` together. O(log flows).
--- a/sparbend/core/fleet_reports_test.cc
+++ b/sparbend/core/fleet_reports_test.cc
@@ -99,14 +99,14 @@
     double truth = 0;
     for (int box = 0; box < nodes_.size(); ++box) {
       for (const FlowValue& own :
-           nodes_.at(box).ingress_scheduler().fair_parts().OwnServed(
+           nodes_.at(box).ingress_scheduler().fair_shares().OwnServed(
                100, nodes_.now()))
         truth += own.flow == flow ? static_cast<double>(own.value) : 0;
     }
     Errors errors;
     for (int box = 0; box < nodes_.size(); ++box) {
       const auto believed = static_cast<double>(
-          nodes_.at(box).ingress_scheduler().fair_parts().ServedLately(
+          nodes_.at(box).ingress_scheduler().fair_shares().RecentService(
               flow, nodes_.now()));
       const double error = std::abs(believed - truth) / truth;
       errors.mean += error / nodes_.size();
--- a/sparbend/core/hall_aggregates.cc
+++ b/sparbend/core/hall_aggregates.cc
@@ -136,8 +136,8 @@
   sum.sum.boxes = static_cast<uint32_t>(boxes_.size());
   sum.members = Members();
   sum.loads = near_.loads.ToldRows();
-  sum.services = near_.served.ToldValues(now);
-  sum.denials = near_.denied.ToldValues(now);
+  sum.services = near_.served.PeerValues(now);
+  sum.denials = near_.denied.PeerValues(now);
   sum.homes = Homes(true);
   return sum;
 }
@@ -148,8 +148,8 @@
   for (const auto& [hall, known] : halls_)
     sum.sum.boxes += known.boxes;
   sum.loads = AddLoads(sum.loads, far_.loads.ToldRows());
-  sum.services = AddValues(sum.services, far_.served.ToldValues(now));
-  sum.denials = AddValues(sum.denials, far_.denied.ToldValues(now));
+  sum.services = AddValues(sum.services, far_.served.PeerValues(now));
+  sum.denials = AddValues(sum.denials, far_.denied.PeerValues(now));
   sum.homes = Homes(false);
   return sum;
 }
--- a/sparbend/core/ingress_scheduler.cc
+++ b/sparbend/core/ingress_scheduler.cc
@@ -154,12 +154,12 @@
              : routes_.emplace(flow, ComputeRoutes(flow)).first->second;
 }
 
-auto IngressScheduler::WhyUnservable(Flow flow) const
+auto IngressScheduler::CheckServable(Flow flow) const
     -> std::optional<Refusal> {
   return RoutesOf(flow).unservable;
 }
 
-auto IngressScheduler::WhyFull(const Workspace& workspace) const
+auto IngressScheduler::CheckQueueLimits(const Workspace& workspace) const
     -> std::optional<Refusal> {
   const std::optional<QueueFull> full = queues_.CheckLimits(workspace, 0);
   return full ? std::optional(RefusalOf(*full)) : std::nullopt;
@@ -167,14 +167,14 @@
 
 auto IngressScheduler::Enqueue(const QueuedRequest& request)
     -> std::optional<Refusal> {
-  if (std::optional<Refusal> refusal = WhyUnservable(request.flow))
+  if (std::optional<Refusal> refusal = CheckServable(request.flow))
     return refusal;
   if (const auto backoff = AllBackOff(request.flow, request.arrived)) {
     if (auto refusal = CheckBackoffWait(request, *backoff, request.arrived))
       return refusal;
   }
   if (std::optional<Refusal> refusal = CheckImmediateShed(request)) {
-    Deny(request.flow, request.work, request.arrived);
+    RecordRefusal(request.flow, request.work, request.arrived);
     return refusal;
   }
   const Workspace* workspace = catalog_->FindWorkspace(request.flow.workspace);
@@ -302,7 +302,7 @@
 
 auto IngressScheduler::TryStart(const QueuedRequest& request, Millis now)
     -> std::optional<Dispatch> {
-  if (queues_.total() != 0 || WhyUnservable(request.flow))
+  if (queues_.total() != 0 || CheckServable(request.flow))
     return std::nullopt;
   if (policy_ == Policy::kShared)
     return TryStartShared(request, now);
@@ -317,7 +317,7 @@
   std::vector<std::pair<int64_t, Flow>> order;
   for (const auto& [flow, queue] : queues_.queues())
     order.emplace_back(policy_ == Policy::kShared
-                           ? fair_shares_.ServedLately(flow, now)
+                           ? fair_shares_.RecentService(flow, now)
                            : service_counters_->Service(flow),
                        flow);
   std::ranges::sort(order);
@@ -362,7 +362,7 @@
   }
 }
 
-auto IngressScheduler::KeepsSlots() const -> bool {
+auto IngressScheduler::RetainsAllFreeSlots() const -> bool {
   const std::vector<TargetId> free = leases_.free_targets();
   return std::ranges::all_of(
       free, [&](TargetId target) { return leases_.Keep(target); });
@@ -371,7 +371,7 @@
 auto IngressScheduler::TakeExpired(Millis now) -> std::vector<RequestId> {
   std::vector<RequestId> expired;
   for (const QueuedRequest& request : queues_.TakeExpired(now)) {
-    Deny(request.flow, request.work, now);
+    RecordRefusal(request.flow, request.work, now);
     expired.push_back(request.id);
   }
   return expired;
@@ -381,7 +381,7 @@
     -> std::vector<std::pair<RequestId, Refusal>> {
   std::vector<std::pair<RequestId, Refusal>> taken;
   for (const auto& [flow, queue] : queues_.queues()) {
-    const std::optional<Refusal> unservable = WhyUnservable(flow);
+    const std::optional<Refusal> unservable = CheckServable(flow);
     const std::optional<Millis> backoff = AllBackOff(flow, now);
     if (!unservable && !backoff)
       continue;
@@ -410,8 +410,9 @@
     demand_reporter_.OnGranted(from, {target->second.view.pool, workspace}, 1);
 }
 
-void IngressScheduler::OnFloors(BoxId from,
-                                const std::vector<SlotKeepLimit>& limits) {
+void IngressScheduler::OnSlotKeepLimits(
+    BoxId from,
+    const std::vector<SlotKeepLimit>& limits) {
   std::erase_if(slot_keep_limits_,
                 [&](const auto& entry) { return entry.first.first == from; });
   for (const SlotKeepLimit& limit : limits)
--- a/sparbend/core/ingress_scheduler.h
+++ b/sparbend/core/ingress_scheduler.h
@@ -82,7 +82,7 @@
   // Counts a refused request of `flow` as requested, so that the refusal enters
   // the fair shares. For refusals because there was no capacity or because this
   // box is saturated.
-  void Deny(Flow flow, const WorkFacts& work, Millis now);
+  void RecordRefusal(Flow flow, const WorkFacts& work, Millis now);
   // Removes a request whose client disconnected, or that ended otherwise before
   // its dispatch. Returns whether it was queued.
   auto Cancel(RequestId id) -> bool;
@@ -124,7 +124,7 @@
   void OnNotice(BoxId from, const LeaseNotice& notice, Millis now);
   // Replaces the slot keep limits of allocator `from`: per pool, the normalised
   // service up to which a flow may keep a slot.
-  void OnFloors(BoxId from, const std::vector<SlotKeepLimit>& limits);
+  void OnSlotKeepLimits(BoxId from, const std::vector<SlotKeepLimit>& limits);
   // Renews all leases of allocator `from`; each of its datagrams does.
   void RenewLeases(BoxId from, Millis now) { leases_.RenewLeases(from, now); }
   // Records that `allocator` restarted without its state.
@@ -141,13 +141,13 @@
   }
   // Whether a change should be sent to `allocator` before its next report is
   // due.
-  auto Urgent(BoxId allocator) const -> bool {
+  auto NeedsImmediateSend(BoxId allocator) const -> bool {
     return leases_.Urgent(allocator) ||
            demand_reporter_.NeedsImmediateSend(allocator);
   }
 
   // Whether no free slot has to be returned.
-  auto KeepsSlots() const -> bool;
+  auto RetainsAllFreeSlots() const -> bool;
 
   auto queues() const -> const FlowQueues& { return queues_; }
   auto leases() const -> const LeaseTable& { return leases_; }
@@ -155,14 +155,15 @@
   auto policy() const -> Policy { return policy_; }
   auto placement() -> Placement& { return placement_; }
   auto placement() const -> const Placement& { return placement_; }
-  auto fair_parts() -> FairShares& { return fair_shares_; }
+  auto fair_shares() -> FairShares& { return fair_shares_; }
 
   // Returns the refusal if the queue limits admit no further request of
   // `workspace` now. O(log workspaces); allows a refusal before the request is
   // read.
-  auto WhyFull(const Workspace& workspace) const -> std::optional<Refusal>;
+  auto CheckQueueLimits(const Workspace& workspace) const
+      -> std::optional<Refusal>;
   // Returns the refusal if no target can serve the flow's requests at all.
-  auto WhyUnservable(Flow flow) const -> std::optional<Refusal>;
+  auto CheckServable(Flow flow) const -> std::optional<Refusal>;
   // Whether the flow's workspace may be served in `hall`.
   auto Permitted(Flow flow, const std::string& hall) const -> bool;
 
--- a/sparbend/core/ingress_scheduler_shared.cc
+++ b/sparbend/core/ingress_scheduler_shared.cc
@@ -82,7 +82,9 @@
                                 : estimator_.Expected(flow);
 }
 
-void IngressScheduler::Deny(Flow flow, const WorkFacts& work, Millis now) {
+void IngressScheduler::RecordRefusal(Flow flow,
+                                     const WorkFacts& work,
+                                     Millis now) {
   const Workspace* workspace = catalog_->FindWorkspace(flow.workspace);
   const int64_t share = workspace == nullptr ? 1 : workspace->share;
   fair_shares_.RecordDenied(
@@ -123,7 +125,7 @@
   }
   for (const auto& [id, refusal] : shed) {
     const std::optional<QueuedRequest> request = queues_.Remove(id);
-    Deny(request->flow, request->work, now);
+    RecordRefusal(request->flow, request->work, now);
   }
   return shed;
 }
@@ -187,7 +189,7 @@
   // by its new service; one that found no room is left out of this pass.
   std::set<std::pair<int64_t, Flow>> order;
   for (const auto& [flow, queue] : queues_.queues())
-    order.emplace(fair_shares_.ServedLately(flow, now), flow);
+    order.emplace(fair_shares_.RecentService(flow, now), flow);
   size_t tries = kMaxTriesPerPass;
   while (!order.empty() && tries > 0) {
     const Flow flow = order.begin()->second;
@@ -196,7 +198,7 @@
     if (!dispatch)
       continue;
     dispatches.push_back(*dispatch);
-    order.emplace(fair_shares_.ServedLately(flow, now), flow);
+    order.emplace(fair_shares_.RecentService(flow, now), flow);
   }
   return dispatches;
 }
--- a/sparbend/core/ingress_scheduler_shared_test.cc
+++ b/sparbend/core/ingress_scheduler_shared_test.cc
@@ -139,8 +139,8 @@
   work.prompt_tokens = 4'000;
   work.output_tokens = 100;
   for (int i = 0; i < 3; ++i)
-    scheduler.Deny(flow, work, now);
-  const auto denied = scheduler.fair_parts().OwnDenied(10, now);
+    scheduler.RecordRefusal(flow, work, now);
+  const auto denied = scheduler.fair_shares().OwnDenied(10, now);
   LONGS_EQUAL(1, denied.size());
   CHECK(denied.front().flow == flow);
   LONGS_EQUAL(3 * 4'200, denied.front().value);
--- a/sparbend/core/load_report_exchange.cc
+++ b/sparbend/core/load_report_exchange.cc
@@ -82,7 +82,7 @@
              Millis age) -> std::vector<FlowValue> {
   std::map<Flow, int64_t> parts;
   for (const FlowValue& value : own)
-    parts[value.flow] = FairUsage::FadedAfter(value.value, age);
+    parts[value.flow] = FairUsage::DecayedAfter(value.value, age);
   for (FlowValue& value : sum) {
     const auto part = parts.find(value.flow);
     if (part != parts.end())
@@ -152,8 +152,8 @@
   if (!summing_) {
     entry_->placement().UpdateFromPeer(word.sender, word.loads, word.homes,
                                        now);
-    entry_->fair_parts().UpdateFromPeer(word.sender, word.services,
-                                        word.denials, now);
+    entry_->fair_shares().UpdateFromPeer(word.sender, word.services,
+                                         word.denials, now);
     return;
   }
   const BoxEntry* sender = members_->Find(word.sender);
@@ -207,7 +207,7 @@
   const Told& own = echo == nullptr ? nothing : *echo;
   entry_->placement().UpdateFromPeer(kFleet, Without(sum.loads, own.loads),
                                      sum.homes, now);
-  entry_->fair_parts().UpdateFromPeer(
+  entry_->fair_shares().UpdateFromPeer(
       kFleet, Without(sum.services, own.served, now - own.at),
       Without(sum.denials, own.denied, now - own.at), now);
 }
@@ -216,7 +216,7 @@
   if (Summing() != summing_) {
     summing_ = !summing_;
     entry_->placement().ClearPeerReports();
-    entry_->fair_parts().ClearPeerReports();
+    entry_->fair_shares().ClearPeerReports();
     sum_taken_ = now;
     sum_boxes_ = 0;
   }
@@ -256,8 +256,8 @@
   word.sequence = ++sequence_;
   word.loads = entry_->placement().loads().OwnRows();
   word.homes = entry_->placement().homes().Recent(now);
-  word.services = entry_->fair_parts().OwnServed(kUsagesPerWord, now);
-  word.denials = entry_->fair_parts().OwnDenied(kDenialsPerWord, now);
+  word.services = entry_->fair_shares().OwnServed(kUsagesPerWord, now);
+  word.denials = entry_->fair_shares().OwnDenied(kDenialsPerWord, now);
   if (summing_) {
     word.members = members_->NextNews(kNewsPerWord);
   } else if (now - whole_at_ >= kWhole) {
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -327,7 +327,7 @@
   for (const Demand& demand : datagram.demands)
     allocators_.OnDemand(from, demand, now);
   entry_.RenewLeases(from, now);
-  entry_.OnFloors(from, datagram.floors);
+  entry_.OnSlotKeepLimits(from, datagram.floors);
   for (const LeaseNotice& lease : datagram.leases)
     entry_.OnNotice(from, lease, now);
 }
@@ -340,7 +340,7 @@
     allocators_.OnDemand(self, demand, now);
   allocators_.Run(now);
   entry_.RenewLeases(self, now);
-  entry_.OnFloors(self, allocators_.Floors());
+  entry_.OnSlotKeepLimits(self, allocators_.Floors());
   for (const LeaseNotice& lease : allocators_.Notices(self, false))
     entry_.OnNotice(self, lease, now);
 }
@@ -396,8 +396,8 @@
     return;
   }
   for (auto& [box, peer] : peers_) {
-    const bool urgent =
-        peer.urgent || entry_.Urgent(box) || allocators_.Urgent(box);
+    const bool urgent = peer.urgent || entry_.NeedsImmediateSend(box) ||
+                        allocators_.Urgent(box);
     if (urgent && peer.urgent_since == Millis(0))
       peer.urgent_since = now;
     const bool flush = urgent && now - peer.urgent_since >= kFlushDelay;
--- a/sparbend/services/admin.cc
+++ b/sparbend/services/admin.cc
@@ -268,7 +268,7 @@
   Json pools = Json::array();
   for (const std::string& pool : workspace->pools) {
     const Flow flow = {PoolIdOf(pool), workspace->number};
-    const auto refusal = node.ingress_scheduler().WhyUnservable(flow);
+    const auto refusal = node.ingress_scheduler().CheckServable(flow);
     const QueuedRequest* front = node.ingress_scheduler().queues().Front(flow);
     std::string why = "nothing waits here";
     if (refusal)
--- a/sparbend/services/frontend.cc
+++ b/sparbend/services/frontend.cc
@@ -162,7 +162,7 @@
 // box that is behind is taken to ask for little, and nobody yields to it.
 auto Frontend::BehindWork(const RequestContext& exchange) -> Refusal {
   if (exchange.pool != nullptr)
-    scheduler_->node().ingress_scheduler().Deny(
+    scheduler_->node().ingress_scheduler().RecordRefusal(
         {PoolIdOf(exchange.pool->name), exchange.workspace->number},
         exchange.work, exchange.received);
   return NotRun(503, "this box is behind its work", kRetryAfterFlood);
@@ -330,7 +330,8 @@
     return refusal;
   if (scheduler_->overload().flooded())
     return BehindWork(*exchange);
-  return scheduler_->node().ingress_scheduler().WhyFull(*exchange->workspace);
+  return scheduler_->node().ingress_scheduler().CheckQueueLimits(
+      *exchange->workspace);
 }
 
 auto Frontend::ServeOne(Session* session) -> asio::awaitable<bool> {
--- a/sparbend/services/scheduler.cc
+++ b/sparbend/services/scheduler.cc
@@ -323,7 +323,7 @@
   // A slot that may be kept waits for the next request; telling can wait for
   // the next datagram.
   if (node_.ingress_scheduler().queues().total() != 0 ||
-      !node_.ingress_scheduler().KeepsSlots())
+      !node_.ingress_scheduler().RetainsAllFreeSlots())
     Poke();
 }
 
