--- a/sparbend/core/hall_aggregates.cc
+++ b/sparbend/core/hall_aggregates.cc
@@ -146,8 +146,8 @@
   aggregate.aggregate_header.boxes = static_cast<uint32_t>(boxes_.size());
   aggregate.members = IncludedBoxes();
   aggregate.loads = local_.loads.PeerRows();
-  aggregate.services = local_.served.ToldValues(now);
-  aggregate.denials = local_.denied.ToldValues(now);
+  aggregate.services = local_.served.PeerValues(now);
+  aggregate.denials = local_.denied.PeerValues(now);
   aggregate.prefix_locations = RecentPrefixLocations(true);
   return aggregate;
 }
@@ -159,9 +159,9 @@
     aggregate.aggregate_header.boxes += known.box_count;
   aggregate.loads = SumLoads(aggregate.loads, remote_.loads.PeerRows());
   aggregate.services =
-      SumFlowValues(aggregate.services, remote_.served.ToldValues(now));
+      SumFlowValues(aggregate.services, remote_.served.PeerValues(now));
   aggregate.denials =
-      SumFlowValues(aggregate.denials, remote_.denied.ToldValues(now));
+      SumFlowValues(aggregate.denials, remote_.denied.PeerValues(now));
   aggregate.prefix_locations = RecentPrefixLocations(false);
   return aggregate;
 }
--- a/sparbend/core/load_report_exchange.cc
+++ b/sparbend/core/load_report_exchange.cc
@@ -92,7 +92,7 @@
               Millis age) -> std::vector<FlowValue> {
   std::map<Flow, int64_t> contributions;
   for (const FlowValue& value : own)
-    contributions[value.flow] = FairUsage::FadedAfter(value.value, age);
+    contributions[value.flow] = FairUsage::DecayedAfter(value.value, age);
   for (FlowValue& value : values) {
     const auto contribution = contributions.find(value.flow);
     if (contribution != contributions.end())
@@ -163,8 +163,8 @@
   if (!uses_aggregates_) {
     ingress_->placement().UpdateFromPeer(report.sender, report.loads,
                                          report.prefix_locations, now);
-    ingress_->fair_parts().UpdateFromPeer(report.sender, report.services,
-                                          report.denials, now);
+    ingress_->fair_shares().UpdateFromPeer(report.sender, report.services,
+                                           report.denials, now);
     return;
   }
   const BoxEntry* sender = members_->Find(report.sender);
@@ -225,7 +225,7 @@
   ingress_->placement().UpdateFromPeer(kFleetSource,
                                        Subtract(aggregate.loads, own.loads),
                                        aggregate.prefix_locations, now);
-  ingress_->fair_parts().UpdateFromPeer(
+  ingress_->fair_shares().UpdateFromPeer(
       kFleetSource, Subtract(aggregate.services, own.served, now - own.sent_at),
       Subtract(aggregate.denials, own.denied, now - own.sent_at), now);
 }
@@ -234,7 +234,7 @@
   if (NeedsAggregates() != uses_aggregates_) {
     uses_aggregates_ = !uses_aggregates_;
     ingress_->placement().ClearPeerReports();
-    ingress_->fair_parts().ClearPeerReports();
+    ingress_->fair_shares().ClearPeerReports();
     aggregate_received_at_ = now;
     aggregate_box_count_ = 0;
   }
@@ -279,8 +279,8 @@
   report.loads = ingress_->placement().loads().OwnRows();
   report.prefix_locations =
       ingress_->placement().prefix_locations().Recent(now);
-  report.services = ingress_->fair_parts().OwnServed(kServicesPerReport, now);
-  report.denials = ingress_->fair_parts().OwnDenied(kDenialsPerReport, now);
+  report.services = ingress_->fair_shares().OwnServed(kServicesPerReport, now);
+  report.denials = ingress_->fair_shares().OwnDenied(kDenialsPerReport, now);
   if (uses_aggregates_) {
     report.members = members_->NextUpdates(kUpdatesPerReport);
   } else if (now - gossip_sent_at_ >= kGossipInterval) {
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -343,7 +343,7 @@
   for (const Demand& demand : datagram.demands)
     slot_allocator_.OnDemand(from, demand, now);
   ingress_.RenewLeases(from, now);
-  ingress_.OnFloors(from, datagram.slot_keep_limits);
+  ingress_.OnSlotKeepLimits(from, datagram.slot_keep_limits);
   for (const LeaseNotice& lease : datagram.leases)
     ingress_.OnNotice(from, lease, now);
 }
@@ -356,7 +356,7 @@
     slot_allocator_.OnDemand(self, demand, now);
   slot_allocator_.Run(now);
   ingress_.RenewLeases(self, now);
-  ingress_.OnFloors(self, slot_allocator_.SlotKeepLimits());
+  ingress_.OnSlotKeepLimits(self, slot_allocator_.SlotKeepLimits());
   for (const LeaseNotice& lease : slot_allocator_.Notices(self, false))
     ingress_.OnNotice(self, lease, now);
 }
@@ -414,7 +414,7 @@
     return;
   }
   for (auto& [box, peer] : peers_) {
-    const bool immediate = peer.immediate || ingress_.Urgent(box) ||
+    const bool immediate = peer.immediate || ingress_.NeedsImmediateSend(box) ||
                            slot_allocator_.NeedsImmediateSend(box);
     if (immediate && peer.immediate_since == Millis(0))
       peer.immediate_since = now;
