--- a/sparbend/core/messages.h
+++ b/sparbend/core/messages.h
@@ -53,7 +53,7 @@
   auto operator==(const Demand&) const -> bool = default;
 };
 
-// The service counter, minimum service or denied service of one flow: a
+// The service counter, service offset or denied service of one flow: a
 // normalised service, with the meaning that the section gives it.
 struct FlowValue {
   Flow flow;
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -336,8 +336,9 @@
     for (const FlowValue& service : datagram.services)
       service_counters_.UpdateFromPeer(from, service.flow, service.value);
   }
-  for (const FlowValue& min_service : datagram.min_services)
-    service_counters_.RaiseMinService(min_service.flow, min_service.value);
+  for (const FlowValue& service_offset : datagram.min_services)
+    service_counters_.RaiseMinService(service_offset.flow,
+                                      service_offset.value);
   for (const LeaseReport& report : datagram.lease_reports)
     slot_allocator_.OnReport(from, report);
   for (const Demand& demand : datagram.demands)
