--- a/sparbend/core/messages.cc
+++ b/sparbend/core/messages.cc
@@ -315,7 +315,7 @@
                    EncodeLeaseReports(datagram.lease_reports),
                    EncodeDemands(datagram.demands),
                    EncodeFlowValues(datagram.services),
-                   EncodeFlowValues(datagram.min_services),
+                   EncodeFlowValues(datagram.service_offsets),
                    EncodeSlotKeepLimits(datagram.slot_keep_limits),
                    EncodeMembers(datagram.members),
                    Json(datagram.leaving_targets),
@@ -356,7 +356,7 @@
       ReadSection(body[section++], TakeLeaseReport, &datagram.lease_reports) &&
       ReadSection(body[section++], TakeDemand, &datagram.demands) &&
       ReadSection(body[section++], TakeFlowValue, &datagram.services) &&
-      ReadSection(body[section++], TakeFlowValue, &datagram.min_services) &&
+      ReadSection(body[section++], TakeFlowValue, &datagram.service_offsets) &&
       ReadSection(body[section++], TakeSlotKeepLimit,
                   &datagram.slot_keep_limits) &&
       ReadSection(body[section++], TakeMemberUpdate, &datagram.members) &&
--- a/sparbend/core/messages.h
+++ b/sparbend/core/messages.h
@@ -130,7 +130,7 @@
   std::vector<LeaseReport> lease_reports;
   std::vector<Demand> demands;
   std::vector<FlowValue> services;
-  std::vector<FlowValue> min_services;
+  std::vector<FlowValue> service_offsets;
   std::vector<SlotKeepLimit> slot_keep_limits;
   // In an aggregate: the boxes of the sender's hall whose load reports are
   // included, each with the heartbeat of its report. Else gossip.
--- a/sparbend/core/messages_test.cc
+++ b/sparbend/core/messages_test.cc
@@ -42,7 +42,7 @@
   datagram.store_until_ms = *rc::gen::arbitrary<uint32_t>();
   datagram.services = *AnyValues();
   datagram.denials = *AnyValues();
-  datagram.min_services = *AnyValues();
+  datagram.service_offsets = *AnyValues();
   LeaseNotice lease;
   lease.target = *rc::gen::arbitrary<TargetId>();
   lease.epoch = *rc::gen::arbitrary<uint32_t>();
--- a/sparbend/core/node.cc
+++ b/sparbend/core/node.cc
@@ -33,7 +33,7 @@
 // Most entries of a section in one datagram.
 constexpr size_t kServicesPerFlush = 3;
 constexpr size_t kServicesPerFullReport = 16;
-constexpr size_t kMinServicesPerDatagram = 4;
+constexpr size_t kServiceOffsetsPerDatagram = 4;
 constexpr size_t kResentServicesPerFullReport = 2;
 constexpr size_t kUpdatesPerFullReport = 2;
 
@@ -289,7 +289,7 @@
     peer.incarnation = datagram->incarnation;
     peer.last_sequence_received = 0;
     peer.service_cursor.Reset();
-    peer.min_service_cursor.Reset();
+    peer.service_offset_cursor.Reset();
     slot_allocator_.OnRestart(datagram->sender);
     ingress_.OnRestart(datagram->sender);
     load_report_exchange_.OnRestart(datagram->sender);
@@ -336,9 +336,9 @@
     for (const FlowValue& service : datagram.services)
       service_counters_.UpdateFromPeer(from, service.flow, service.value);
   }
-  for (const FlowValue& service_offset : datagram.min_services)
-    service_counters_.RaiseMinService(service_offset.flow,
-                                      service_offset.value);
+  for (const FlowValue& service_offset : datagram.service_offsets)
+    service_counters_.RaiseServiceOffset(service_offset.flow,
+                                         service_offset.value);
   for (const LeaseReport& report : datagram.lease_reports)
     slot_allocator_.OnReport(from, report);
   for (const Demand& demand : datagram.demands)
@@ -467,8 +467,9 @@
   datagram.services = ToValues(peer->service_cursor.Next(
       service_counters_.own(),
       full ? kServicesPerFullReport : kServicesPerFlush, resent));
-  datagram.min_services = ToValues(peer->min_service_cursor.Next(
-      service_counters_.min_services(), kMinServicesPerDatagram, full ? 1 : 0));
+  datagram.service_offsets = ToValues(peer->service_offset_cursor.Next(
+      service_counters_.service_offsets(), kServiceOffsetsPerDatagram,
+      full ? 1 : 0));
   if (full)
     datagram.members = members_.NextUpdates(kUpdatesPerFullReport);
   return datagram;
--- a/sparbend/core/node.h
+++ b/sparbend/core/node.h
@@ -169,7 +169,7 @@
     // Nothing: it has no list, or does not reach the store.
     std::optional<Millis> directory_read_at;
     ServiceReportCursor service_cursor;
-    ServiceReportCursor min_service_cursor;
+    ServiceReportCursor service_offset_cursor;
   };
 
   // Returns whether `target` was not known to be leaving and is listed.
--- a/sparbend/core/small_test.cc
+++ b/sparbend/core/small_test.cc
@@ -230,8 +230,8 @@
   counters.UpdateFromPeer(20, flow, 50);
   counters.UpdateFromPeer(20, flow, 70);  // replaces 50
   LONGS_EQUAL(170, counters.Service(flow));
-  counters.RaiseMinService(flow, 30);
-  counters.RaiseMinService(flow, 20);  // lower: ignored
+  counters.RaiseServiceOffset(flow, 30);
+  counters.RaiseServiceOffset(flow, 20);  // lower: ignored
   LONGS_EQUAL(200, counters.Service(flow));
   ServiceCounters restarted(10);
   CHECK(restarted.Import(counters.Export()));
--- a/sparbend/services/admin.cc
+++ b/sparbend/services/admin.cc
@@ -283,7 +283,7 @@
          {"waiting_ms",
           front == nullptr ? 0 : (kernel_->Now() - front->arrived).count()},
          {"service_per_share", node.ledger().Service(flow) / kServiceUnit},
-         {"lift", node.ledger().MinServiceOf(flow) / kServiceUnit},
+         {"lift", node.ledger().ServiceOffsetOf(flow) / kServiceUnit},
          {"why", why}});
   }
   return Json{{"workspace", name},
