--- a/sparbend/core/evacuated_halls.cc
+++ b/sparbend/core/evacuated_halls.cc
@@ -1,28 +1,30 @@
-// Offsets decide what is newer: a box may be told by one that is behind, and
-// must neither close a hall again that was taken back since, nor open one that
-// was emptied since. A hall that was taken back is remembered with the offset
-// at which it was; there are as many of these as halls were ever named.
+// The record with the higher offset wins. A report may come from a box that is
+// behind in the log; it must neither evacuate a hall again whose evacuation has
+// ended since, nor reopen a hall that was evacuated since. Therefore a hall
+// stays in the map, with its offset, after its evacuation has ended: the map
+// grows with the number of different halls ever named, up to kMaxHalls.
 #include "sparbend/core/evacuated_halls.h"
 
 namespace sparbend {
 namespace {
 
-// Far more halls than any fleet has; records of others are of no use.
-constexpr size_t kMostHalls = 1'024;
+// Far more halls than any fleet has. Records of further halls are ignored.
+constexpr size_t kMaxHalls = 1'024;
 
 }  // namespace
 
-auto EvacuatedHalls::Set(const std::string& hall, bool empty, int64_t offset)
-    -> bool {
-  if (states_.size() >= kMostHalls && !states_.contains(hall))
+auto EvacuatedHalls::Set(const std::string& hall,
+                         bool evacuated,
+                         int64_t offset) -> bool {
+  if (states_.size() >= kMaxHalls && !states_.contains(hall))
     return false;
   const auto [found, added] = states_.try_emplace(hall);
   State& state = found->second;
   if (!added && offset < state.offset)
     return false;
-  const bool news = state.empty != empty;
-  state = State{empty, offset};
-  return news;
+  const bool changed = state.evacuated != evacuated;
+  state = State{evacuated, offset};
+  return changed;
 }
 
 auto EvacuatedHalls::Put(const std::string& hall, int64_t offset) -> bool {
@@ -35,20 +37,20 @@
 
 auto EvacuatedHalls::Retain(const std::set<std::string>& halls, int64_t end)
     -> bool {
-  bool news = false;
+  bool changed = false;
   for (auto& [hall, state] : states_) {
-    if (!state.empty || halls.contains(hall) || state.offset >= end)
+    if (!state.evacuated || halls.contains(hall) || state.offset >= end)
       continue;
     state = State{false, end - 1};
-    news = true;
+    changed = true;
   }
-  return news;
+  return changed;
 }
 
 auto EvacuatedHalls::halls() const -> std::set<std::string> {
   std::set<std::string> halls;
   for (const auto& [hall, state] : states_) {
-    if (state.empty)
+    if (state.evacuated)
       halls.insert(hall);
   }
   return halls;
--- a/sparbend/core/evacuated_halls_test.cc
+++ b/sparbend/core/evacuated_halls_test.cc
@@ -1,6 +1,6 @@
-// Symptom: an operator had a hall emptied, and requests went on to its targets
-// until it was taken back (1,258 of one play, five seconds and more after the
-// store had taken the order). Cause: the order was read by nobody.
+// Guards against requests that are still sent to the targets of a hall, seconds
+// after the store accepted an operator's order to evacuate it, because no box
+// reads the order.
 #include "sparbend/core/evacuated_halls.h"
 
 #include "sparbend/core/node.h"
@@ -18,7 +18,7 @@
   return names;
 }
 
-// Two engines in each of two halls, and requests that the halls share.
+// A node with two halls of two engines each, which serve the same pool.
 class TwoHalls {
  public:
   TwoHalls() : node_(Options()) {
@@ -34,12 +34,13 @@
 
   auto node() -> Node& { return node_; }
 
-  // The halls in which `count` more requests start.
-  auto Ask(int count) -> std::map<std::string, int> {
+  // Queues `count` requests and runs the node; how many requests it sends to
+  // each hall.
+  auto Enqueue(int count) -> std::map<std::string, int> {
     std::map<std::string, int> halls;
     for (int i = 0; i < count; ++i) {
       QueuedRequest request;
-      request.id = ++asked_;
+      request.id = ++last_request_id_;
       request.flow = {PoolIdOf("engines"), 1};
       request.arrived = Now();
       request.expires = Now() + Millis(60'000);
@@ -48,6 +49,7 @@
     return Run();
   }
 
+  // Runs the node 100 ms later; how many requests it sends to each hall.
   auto Run() -> std::map<std::string, int> {
     now_ = now_ + Millis(100);
     std::map<std::string, int> halls;
@@ -79,56 +81,56 @@
   Millis now_{10'000};
   Node node_;
   MemberList list_;
-  RequestId asked_ = 0;
+  RequestId last_request_id_ = 0;
   std::vector<RequestId> started_;
 };
 
 TEST_GROUP(EvacuatedHalls){};
 
-TEST(EvacuatedHalls, TheNewerRecordWinsInWhateverOrderTheyCome) {
+TEST(EvacuatedHalls, NewerRecordWinsInAnyOrder) {
   EvacuatedHalls halls;
   CHECK(halls.Put("a", 3));
-  CHECK(!halls.Put("a", 4));   // asked for twice
-  CHECK(!halls.Drop("a", 2));  // an older word
+  CHECK(!halls.Put("a", 4));   // already evacuated
+  CHECK(!halls.Drop("a", 2));  // an older record
   STRCMP_EQUAL("a ", Names(halls).c_str());
   CHECK(halls.Drop("a", 6));
-  CHECK(!halls.Put("a", 5));  // taken back before it was seen
+  CHECK(!halls.Put("a", 5));  // ended by a newer record
   STRCMP_EQUAL("", Names(halls).c_str());
   CHECK(halls.Put("a", 7));
 }
 
-TEST(EvacuatedHalls, AWholeListTakesBackWhatItDoesNotName) {
+TEST(EvacuatedHalls, FullListEndsEvacuationsThatItLacks) {
   EvacuatedHalls halls;
   halls.Put("a", 3);
   halls.Put("b", 9);
   CHECK(halls.Retain({}, 5));
   STRCMP_EQUAL("b ", Names(halls).c_str());
-  CHECK(!halls.Put("a", 3));  // told by a box that is behind
+  CHECK(!halls.Put("a", 3));  // reported by a box that is behind
   STRCMP_EQUAL("b ", Names(halls).c_str());
 }
 
-TEST(EvacuatedHalls, HallsWithoutEndAreNotRemembered) {
+TEST(EvacuatedHalls, NumberOfHallsIsBounded) {
   EvacuatedHalls halls;
   for (int i = 0; i < 5'000; ++i)
     halls.Put(std::to_string(i), i);
   CHECK(halls.halls().size() <= 1'024);
 }
 
-// Records in their order, read from any place of the log and by whole lists:
-// what is known is what the log says at the last offset read.
-TEST(EvacuatedHalls, EndsWhereTheLogDoes) {
+// Some records of the log are read in order, the others are missed. A full list
+// at the end brings the state to that of the log.
+TEST(EvacuatedHalls, FullListRestoresMissedRecords) {
   testing::CheckHolds("evacuated halls", [] {
     const auto log = *rc::gen::container<std::vector<std::pair<int, bool>>>(
         rc::gen::pair(rc::gen::inRange(0, 3), rc::gen::arbitrary<bool>()));
     EvacuatedHalls halls;
-    std::set<std::string> truth;
+    std::set<std::string> expected;
     for (size_t i = 0; i < log.size(); ++i) {
       const std::string hall = std::to_string(log[i].first);
       const auto offset = static_cast<int64_t>(i);
       if (log[i].second)
-        truth.insert(hall);
+        expected.insert(hall);
       else
-        truth.erase(hall);
+        expected.erase(hall);
       if (!*rc::gen::arbitrary<bool>())
         continue;
       if (log[i].second)
@@ -137,18 +139,19 @@
         halls.Drop(hall, offset);
     }
     const auto end = static_cast<int64_t>(log.size());
-    for (const std::string& hall : truth)
+    for (const std::string& hall : expected)
       halls.Put(hall, end);
-    halls.Retain(truth, end + 1);
-    RC_ASSERT(halls.halls() == truth);
+    halls.Retain(expected, end + 1);
+    RC_ASSERT(halls.halls() == expected);
   });
 }
 
-TEST(EvacuatedHalls, NothingNewStartsThereUntilItIsTakenBack) {
+TEST(EvacuatedHalls, NoNewRequestsAreSentThereUntilTheEvacuationEnds) {
   TwoHalls fleet;
-  LONGS_EQUAL(2, fleet.Ask(12).size());
+  LONGS_EQUAL(2, fleet.Enqueue(12).size());
   fleet.node().SetEvacuatedHalls({"h1"}, fleet.Now());
-  // The four that wait go elsewhere as soon as there is room.
+  // The four queued requests are sent to the other hall as soon as a slot is
+  // free there.
   fleet.FinishAll();
   auto halls = fleet.Run();
   LONGS_EQUAL(0, halls["h1"]);
@@ -157,11 +160,11 @@
   fleet.node().SetEvacuatedHalls({}, fleet.Now());
   fleet.Run();
   fleet.FinishAll();
-  halls = fleet.Ask(8);
+  halls = fleet.Enqueue(8);
   CHECK(halls["h1"] > 0);
 }
 
-TEST(EvacuatedHalls, WithNoHallLeftRequestsAreRefusedAtOnceAsNotRun) {
+TEST(EvacuatedHalls, RequestsAreRefusedAsNotRunIfAllHallsAreEvacuated) {
   TwoHalls fleet;
   fleet.node().SetEvacuatedHalls({"h", "h1", "no such hall"}, fleet.Now());
   QueuedRequest request;
