--- a/sparbend/core/leaving_targets.cc
+++ b/sparbend/core/leaving_targets.cc
@@ -15,7 +15,7 @@
       since = now;
   }
   std::erase_if(unlisted_since_, [&](const auto& entry) {
-    return entry.second && now - *entry.second >= kept_;
+    return entry.second && now - *entry.second >= retention_;
   });
 }
 
--- a/sparbend/core/leaving_targets.h
+++ b/sparbend/core/leaving_targets.h
@@ -1,12 +1,13 @@
-// Targets that are known to leave by something else than the list of targets:
-// their own word, or that of another box. The list may name such a target as
-// ready, lose it and bring it back; it leaves all the same.
+// Targets that are known to be leaving from a source other than the list of
+// targets: their own answers, or the gossip of another box. They count as
+// leaving whatever the list says. It may still name such a target as ready, or
+// lack it for a while and name it again.
 //
 //   leaving.Add(target);
-//   leaving.SetListed(listed, now);   // with each new list
+//   leaving.SetListed(is_listed, now);  // with each new list
 //   if (leaving.Contains(target)) ...
 //
-// Pure.
+// Does no I/O.
 #ifndef SPARBEND_CORE_LEAVING_TARGETS_H_
 #define SPARBEND_CORE_LEAVING_TARGETS_H_
 
@@ -22,22 +23,26 @@
 
 class LeavingTargets {
  public:
-  // A target that is not listed is forgotten after `kept`: with zero at once,
-  // where another start of it may have the same id.
-  explicit LeavingTargets(Millis kept) : kept_(kept) {}
+  // A target that is no longer listed is removed after `retention`. Zero, which
+  // removes it with the first list that lacks it, is for targets that may have
+  // the same id after a restart.
+  explicit LeavingTargets(Millis retention) : retention_(retention) {}
 
-  // True if that is news.
+  // True if the target was not in the set.
   auto Add(TargetId target) -> bool;
   auto Contains(TargetId target) const -> bool {
     return unlisted_since_.contains(target);
   }
+  // Updates the set from a new list of targets, and removes those that have
+  // been off the list for the retention time.
   void SetListed(const std::function<bool(TargetId)>& is_listed, Millis now);
-  // Those that the last list named, or that came since.
+  // Those that the last list named, and those added since.
   auto Listed() const -> std::vector<TargetId>;
 
  private:
-  Millis kept_;
-  // When the list was first seen without the target; nothing: it names it.
+  Millis retention_;
+  // When a list first lacked the target; nothing while the list names it, or if
+  // no list came since it was added.
   std::map<TargetId, std::optional<Millis>> unlisted_since_;
 };
 
--- a/sparbend/core/list_reading.cc
+++ b/sparbend/core/list_reading.cc
@@ -1,29 +1,31 @@
-// A list known to be out of date that a peer does not hand over is read from
-// the store as if reading were this box's duty: waiting for its turn would take
-// seconds in a large fleet, and a target that leaves must get no new work
-// within two or three.
+// If a peer has a newer list but this box can't get it, the box reads the store
+// as often as the reader of its hall does. Waiting for its poll timer would
+// take seconds in a large fleet, and a leaving target must get no new work
+// after two or three seconds.
 #include "sparbend/core/list_reading.h"
 
 namespace sparbend {
 namespace {
 
 // Half of the two seconds after which a leaving target must get no new work,
-// less what the call and a request on its way take.
-constexpr Millis kRefresh = Millis(850);
+// less the time that the call to the store and a request to the target take.
+constexpr Millis kReadInterval = Millis(850);
 
 }  // namespace
 
-auto ReadNow(const ListReading& reading) -> bool {
-  if (!reading.known)
+auto ReadNow(const ListReading& state) -> bool {
+  if (!state.has_list)
     return true;
-  // Else one whose duty went to another box would never find the store again.
-  if (reading.lost && reading.look_due && reading.since_read >= kRefresh)
+  // A box that lost the store has given its reader role to another box, whose
+  // list keeps it up to date. Without this rule it would never call the store
+  // again and so never notice that it can reach it.
+  if (state.lost_store && state.poll_due && state.since_read >= kReadInterval)
     return true;
-  if (reading.look == PeerListCheck::kSpared)
+  if (state.peer_check == PeerListCheck::kSpared)
     return false;
-  const bool by_refresh =
-      reading.duty || reading.look == PeerListCheck::kFailed;
-  return by_refresh ? reading.since_read >= kRefresh : reading.look_due;
+  const bool reads_at_interval =
+      state.is_hall_reader || state.peer_check == PeerListCheck::kFailed;
+  return reads_at_interval ? state.since_read >= kReadInterval : state.poll_due;
 }
 
 }  // namespace sparbend
--- a/sparbend/core/list_reading.h
+++ b/sparbend/core/list_reading.h
@@ -1,5 +1,9 @@
-// Whether a box reads the list of targets from the store now, or goes by what
-// its peers have.
+// Decides whether a box reads the list of targets from the platform's store
+// now. Usually one box of each hall reads it, and the others copy a fresh list
+// from a peer; they read the store themselves when that fails.
+//
+//   if (ReadNow({known, has_role, lost, peer_check, now - read_at, poll_due}))
+//     ...  // read the store
 #ifndef SPARBEND_CORE_LIST_READING_H_
 #define SPARBEND_CORE_LIST_READING_H_
 
@@ -7,23 +11,25 @@
 
 namespace sparbend {
 
-// What came of looking at the peers' lists instead of the store.
+// Result of a check of the peers' lists.
 enum class PeerListCheck {
-  kSpared,   // ours is as young as a fresh one
-  kNothing,  // no peer has a fresh one
-  kFailed,   // a peer has another one, and did not hand it over
+  kSpared,   // this box has a list as fresh as any, perhaps just copied
+  kNothing,  // no peer has a fresh list
+  kFailed,   // a peer has a newer list, and this box did not get it
 };
 
 struct ListReading {
-  bool known = false;  // a list was read at all
-  bool duty = false;   // this box reads for its hall
-  bool lost = false;   // it did not reach the store when it last tried
-  PeerListCheck look = PeerListCheck::kNothing;
-  Millis since_read;      // since this box last read, or tried
-  bool look_due = false;  // it is this box's turn (PollTimer)
+  bool has_list = false;        // this box has some list, however old
+  bool is_hall_reader = false;  // this box reads the store for its hall
+  bool lost_store = false;      // its last call to the store failed
+  // kFailed also if this box's list is about to be out of date (Node).
+  PeerListCheck peer_check = PeerListCheck::kNothing;
+  Millis since_read;  // time since this box last called the store for the list
+  bool poll_due = false;  // the box's PollTimer is due
 };
 
-auto ReadNow(const ListReading& reading) -> bool;
+// Whether to read the store now.
+auto ReadNow(const ListReading& state) -> bool;
 
 }  // namespace sparbend
 
--- a/sparbend/core/list_reading_test.cc
+++ b/sparbend/core/list_reading_test.cc
@@ -7,49 +7,49 @@
 
 TEST_GROUP(ListReading){};
 
-TEST(ListReading, TheStoreIsReadWhenNoPeerSparesIt) {
+TEST(ListReading, StoreIsReadUnlessAPeersListIsUpToDate) {
   struct Case {
     const char* what;
-    ListReading reading;
-    bool read;
+    ListReading state;
+    bool read_now;
   };
   const Case cases[] = {
-      {"nothing known yet",
+      {"no list yet",
        {false, false, false, PeerListCheck::kNothing, Millis(0), false},
        true},
-      {"duty, just read",
+      {"reader of the hall, read a moment ago",
        {true, true, false, PeerListCheck::kNothing, Millis(100), true},
        false},
-      {"duty, a while ago",
+      {"reader of the hall, read interval is over",
        {true, true, false, PeerListCheck::kNothing, Millis(900), false},
        true},
-      {"a peer's list is as good",
+      {"up to date with the peers, poll due",
        {true, false, false, PeerListCheck::kSpared, Millis(9'000), true},
        false},
-      {"nobody has a fresh one, not this box's turn",
+      {"no fresh list, poll not due",
        {true, false, false, PeerListCheck::kNothing, Millis(9'000), false},
        false},
-      {"the same, its turn",
+      {"no fresh list, poll due",
        {true, false, false, PeerListCheck::kNothing, Millis(9'000), true},
        true},
-      {"a peer has a newer one and does not answer",
+      {"newer list of a peer not received, read interval is over",
        {true, false, false, PeerListCheck::kFailed, Millis(9'000), false},
        true},
-      {"it lost the store, and a peer's list is as good",
+      {"lost the store, up to date, poll not due",
        {true, false, true, PeerListCheck::kSpared, Millis(9'000), false},
        false},
-      {"the same, its turn",
+      {"lost the store, up to date, poll due",
        {true, false, true, PeerListCheck::kSpared, Millis(9'000), true},
        true},
-      {"the same, just tried",
+      {"lost the store, up to date, poll due, called a moment ago",
        {true, false, true, PeerListCheck::kSpared, Millis(100), true},
        false},
-      {"a peer has a newer one and did not answer, just read",
+      {"newer list of a peer not received, read a moment ago",
        {true, false, false, PeerListCheck::kFailed, Millis(100), false},
        false},
   };
   for (const Case& row : cases)
-    CHECK_EQUAL_TEXT(row.read, ReadNow(row.reading), row.what);
+    CHECK_EQUAL_TEXT(row.read_now, ReadNow(row.state), row.what);
 }
 
 }  // namespace
--- a/sparbend/core/poll_timer.h
+++ b/sparbend/core/poll_timer.h
@@ -1,10 +1,13 @@
-// When a box looks for itself at something that usually one box of each hall
-// watches and tells the others about. All boxes look so rarely that together
-// they look equally often whatever the size of the fleet, and often enough
-// that one of them soon finds what the watchers missed.
+// When a box polls by itself a source that usually one box of each hall watches
+// and reports to the others. Each box polls so rarely that all boxes together
+// poll at about the same rate whatever the size of the fleet, and often enough
+// that one of them soon finds a change that the watching boxes missed.
 //
-//   PollTimer clock(seed);
-//   if (clock.Due(now)) { clock.Looked(boxes, now); ... }
+//   PollTimer timer(seed);
+//   if (timer.Due(now)) {
+//     timer.MarkPolled(boxes, now);
+//     ...  // poll
+//   }
 #ifndef SPARBEND_CORE_POLL_TIMER_H_
 #define SPARBEND_CORE_POLL_TIMER_H_
 
@@ -16,25 +19,27 @@
 
 namespace sparbend {
 
-// How often the boxes of a fleet look.
+// How often the boxes of a fleet poll.
 struct LookRate {
-  // The mean wait of one box, for each box in the fleet.
+  // The mean wait of one box between polls, per box in the fleet.
   int64_t mean_ms_per_box = 110;
-  // The longest mean wait.
-  int64_t most_mean_ms = 20'000;
+  // The upper limit of the mean wait of one box.
+  int64_t max_mean_ms = 20'000;
 
   auto operator==(const LookRate&) const -> bool = default;
 };
 
 class PollTimer {
  public:
-  // Boxes with different seeds look at different times.
+  // Boxes must have different seeds, so that they poll at different times. The
+  // first poll is due at once.
   explicit PollTimer(uint64_t seed, LookRate rate = {})
       : random_(seed), rate_(rate) {}
 
   auto Due(Millis now) const -> bool { return now >= due_; }
-  // The box looks now, as one of `boxes` that do; or need not, since it heard
-  // of one that looked.
+  // Sets the next poll time. Called when this box polls, as one of `boxes`
+  // boxes that do, or when it may skip a poll because another box has just
+  // polled.
   void MarkPolled(size_t boxes, Millis now);
 
  private:
--- a/sparbend/core/poll_timer_test.cc
+++ b/sparbend/core/poll_timer_test.cc
@@ -10,13 +10,14 @@
 
 TEST_GROUP(PollTimer){};
 
-// Boxes of a fleet look for half a minute; how long nobody looked at most, and
-// how often all did.
-TEST(PollTimer, SomeBoxLooksSoonAndTheFleetNoOftenerWhateverItsSize) {
+// Simulates the boxes of a fleet for 60 s. In the last 30 s, bounds the longest
+// time without a poll of any box and the number of polls of all boxes.
+TEST(PollTimer, GapsAndTotalRateAreBoundedForAnyFleetSize) {
   struct Case {
     size_t boxes;
-    int64_t longest_gap_ms;  // a half of the bound on taking a change
-    int64_t most_looks;      // of the fleet, in 30 s
+    int64_t
+        max_gap_ms;  // half of the time within which a change must be applied
+    int64_t max_polls;  // of all boxes, in 30 s
   };
   const Case cases[] = {
       {3, 750, 350},
@@ -25,24 +26,24 @@
       {300, 1'000, 500},
   };
   for (const Case& row : cases) {
-    std::vector<PollTimer> clocks;
+    std::vector<PollTimer> timers;
     for (size_t box = 0; box < row.boxes; ++box)
-      clocks.emplace_back(box);
-    std::vector<int64_t> looks;
-    for (int64_t now = 0; now < 60'000; ++now) {
-      for (PollTimer& clock : clocks) {
-        if (!clock.Due(Millis(now)))
+      timers.emplace_back(box);
+    std::vector<int64_t> polls_ms;
+    for (int64_t now_ms = 0; now_ms < 60'000; ++now_ms) {
+      for (PollTimer& timer : timers) {
+        if (!timer.Due(Millis(now_ms)))
           continue;
-        clock.MarkPolled(row.boxes, Millis(now));
-        if (now >= 30'000)
-          looks.push_back(now);
+        timer.MarkPolled(row.boxes, Millis(now_ms));
+        if (now_ms >= 30'000)
+          polls_ms.push_back(now_ms);
       }
     }
-    int64_t gap = 0;
-    for (size_t i = 1; i < looks.size(); ++i)
-      gap = std::max(gap, looks[i] - looks[i - 1]);
-    CHECK_TRUE(gap <= row.longest_gap_ms);
-    CHECK_TRUE(static_cast<int64_t>(looks.size()) <= row.most_looks);
+    int64_t gap_ms = 0;
+    for (size_t i = 1; i < polls_ms.size(); ++i)
+      gap_ms = std::max(gap_ms, polls_ms[i] - polls_ms[i - 1]);
+    CHECK_TRUE(gap_ms <= row.max_gap_ms);
+    CHECK_TRUE(static_cast<int64_t>(polls_ms.size()) <= row.max_polls);
   }
 }
 
