--- a/sparbend/core/store_availability.cc
+++ b/sparbend/core/store_availability.cc
@@ -1,10 +1,11 @@
-// Two spans that overlap are parts of one: whoever reached the store throughout
-// knows better than a box whose own calls failed meanwhile. Spans apart are
-// joined only where the gap is too short to matter and this box saw no failure
-// in it. Otherwise the later one counts: the store was away before it.
+// Overlapping spans are merged: a box that reached the store throughout is
+// better informed than a box whose own calls failed meanwhile. Spans that do
+// not overlap are merged only if the gap between them is too short to matter
+// and no call of this box failed in it. Otherwise the later span replaces the
+// earlier one, and the store is taken to have been unavailable before it.
 //
-// Invariant: the span covers no failed call of this box that no peer's span
-// covers.
+// Invariant: a failed call of this box lies within the span only if it also
+// lies within a span that a peer reported.
 #include "sparbend/core/store_availability.h"
 
 #include <algorithm>
@@ -12,13 +13,14 @@
 namespace sparbend {
 namespace {
 
-// Records whose owners live are back about two seconds after the store is; a
-// little more for the reading.
-constexpr Millis kLapseGrace = Millis(2'400);
-// The readers of a fleet call more often than this.
-constexpr Millis kLongestGap = Millis(1'150);
-// A box that is behind its work calls later, and its calls do not fail.
-constexpr Millis kLongestPause = Millis(2'500);
+// Live owners have written their records again about two seconds after the
+// store came back; the rest is for reading them.
+constexpr Millis kRewriteTime = Millis(2'400);
+// The boxes that read the store for their halls call it more often than this.
+constexpr Millis kMaxReadInterval = Millis(1'150);
+// An overloaded box calls the store less often, although none of its calls
+// fail.
+constexpr Millis kMaxOverloadedReadInterval = Millis(2'500);
 
 }  // namespace
 
@@ -29,20 +31,21 @@
   return within(first_failed_) || within(last_failed_);
 }
 
-auto StoreAvailability::Continues(Millis next, Millis longest) const -> bool {
-  return next - span_->until <= longest && !FailedBetween(span_->until, next);
+auto StoreAvailability::Continues(Millis next, Millis max_gap) const -> bool {
+  return next - span_->until <= max_gap && !FailedBetween(span_->until, next);
 }
 
-void StoreAvailability::Begin(const AnsweredSpan& span) {
-  after_break_ = after_break_ || span_.has_value();
+void StoreAvailability::StartSpan(const AnsweredSpan& span) {
+  after_outage_ = after_outage_ || span_.has_value();
   span_ = span;
 }
 
 void StoreAvailability::OnAnswered(Millis now) {
-  if (span_ && (now <= span_->until || Continues(now, kLongestPause)))
+  if (span_ &&
+      (now <= span_->until || Continues(now, kMaxOverloadedReadInterval)))
     span_->until = std::max(span_->until, now);
   else
-    Begin({now, now});
+    StartSpan({now, now});
 }
 
 void StoreAvailability::OnFailed(Millis sent) {
@@ -55,13 +58,13 @@
 
 void StoreAvailability::OnPeerSpan(const AnsweredSpan& span) {
   if (!span_) {
-    Begin(span);
+    StartSpan(span);
     return;
   }
   if (span.until < span_->since)
     return;
-  if (span.since > span_->until && !Continues(span.since, kLongestGap)) {
-    Begin(span);
+  if (span.since > span_->until && !Continues(span.since, kMaxReadInterval)) {
+    StartSpan(span);
     return;
   }
   span_->since = std::min(span_->since, span.since);
@@ -69,11 +72,12 @@
 }
 
 auto StoreAvailability::RecordsMayLapse(Millis read_at) const -> bool {
-  return after_break_ && span_ && read_at < span_->since + kLapseGrace;
+  return after_outage_ && span_ && read_at < span_->since + kRewriteTime;
 }
 
 auto StoreAvailability::AnsweredSince(Millis read_at) const -> bool {
-  return span_ && span_->until - std::max(read_at, span_->since) > kLongestGap;
+  return span_ &&
+         span_->until - std::max(read_at, span_->since) > kMaxReadInterval;
 }
 
 }  // namespace sparbend
--- a/sparbend/core/store_availability.h
+++ b/sparbend/core/store_availability.h
@@ -1,13 +1,15 @@
-// Since when the platform's store has answered without a break, as far as this
-// box and its peers know. A box that lost the store alone learns from its peers
-// that the store was there, so it does not take its own failure for an outage;
-// after an outage all boxes come to the same moment of return.
+// Since when the platform's store has answered without interruption, as far as
+// this box and its peers know. A box that alone can't reach the store is told
+// by its peers that the store is available, and so does not take its own failed
+// calls for an outage. After an outage all boxes agree on the time at which the
+// store came back.
 //
-//   contact.OnAnswered(now); contact.OnFailed(sent);
-//   contact.RenewLeases(span_of_a_peer);
-//   if (contact.RecordsMayLapse(read_at)) ...  // doubt records that are gone
+//   availability.OnAnswered(now); availability.OnFailed(sent);
+//   availability.OnPeerSpan(span_of_a_peer);
+//   if (availability.RecordsMayLapse(read_at))
+//     ...  // a missing record does not prove that its target is gone
 //
-// Pure; all calls O(1). Instants are by this box's clock.
+// Does no I/O; all calls are O(1). Times are by this box's clock.
 #ifndef SPARBEND_CORE_STORE_AVAILABILITY_H_
 #define SPARBEND_CORE_STORE_AVAILABILITY_H_
 
@@ -17,7 +19,8 @@
 
 namespace sparbend {
 
-// The store answered calls from `since` to `until`, with no break known.
+// The store answered calls from `since` to `until`, without a known
+// interruption.
 struct AnsweredSpan {
   Millis since;
   Millis until;
@@ -27,35 +30,38 @@
 
 class StoreAvailability {
  public:
-  // A call of this box was answered.
+  // The store answered a call of this box.
   void OnAnswered(Millis now);
-  // A call of this box that was sent at `sent` was not answered.
+  // A call of this box, sent at `sent`, failed or got no answer.
   void OnFailed(Millis sent);
-  // A peer tells of `span`.
+  // A peer reports `span`, converted to this box's clock.
   void OnPeerSpan(const AnsweredSpan& span);
 
-  // Nothing: the store has not answered anybody yet, as far as is known.
+  // The latest span; nothing if the store is not known to have answered any
+  // box.
   auto span() const -> const std::optional<AnsweredSpan>& { return span_; }
-  // Whether a record that was gone when the list was read at `read_at` may have
-  // lapsed while the store was away, though its owner lives. Such records are
-  // back within a time after the store is.
+  // Whether a record that was missing when the list was read at `read_at` may
+  // have expired in an outage of the store although its owner is alive. Live
+  // owners write their records again within a short time after the outage.
   auto RecordsMayLapse(Millis read_at) const -> bool;
-  // Whether the store has answered, since `read_at` and since it was back if
-  // that is later, for longer than the usual time between two reads.
+  // Whether the store has been available, after both `read_at` and the end of
+  // its last outage, for longer than the usual time between two reads. Then a
+  // box with a list read at `read_at` has had the time to read a newer one.
   auto AnsweredSince(Millis read_at) const -> bool;
 
  private:
-  // A call of this box failed after `from`, sent before `to`.
+  // Whether a call of this box that was sent between `from` and `to`,
+  // exclusive, failed.
   auto FailedBetween(Millis from, Millis to) const -> bool;
-  // Whether nothing says that the store was away between the end of the span
-  // and `next`, when it answered, at most `longest` later.
-  auto Continues(Millis next, Millis longest) const -> bool;
-  void Begin(const AnsweredSpan& span);
+  // Whether an answer at `next` continues `span_`: at most `max_gap` after its
+  // end, and no call of this box failed in between.
+  auto Continues(Millis next, Millis max_gap) const -> bool;
+  void StartSpan(const AnsweredSpan& span);
 
   std::optional<AnsweredSpan> span_;
-  // Before this one the store was away, or may have been.
-  bool after_break_ = false;
-  // Calls that failed since the end of the span.
+  // Whether the store was, or may have been, unavailable before `span_`.
+  bool after_outage_ = false;
+  // When the first and the last failed call after the end of `span_` were sent.
   std::optional<Millis> first_failed_;
   std::optional<Millis> last_failed_;
 };
--- a/sparbend/core/store_availability_test.cc
+++ b/sparbend/core/store_availability_test.cc
@@ -1,4 +1,5 @@
-// What boxes conclude from calls that fail and from what their peers tell.
+// What boxes conclude from their own calls and from the spans that peers
+// report.
 #include "sparbend/core/store_availability.h"
 
 #include <CppUTest/TestHarness.h>
@@ -12,33 +13,33 @@
 namespace {
 
 struct Event {
-  enum class Kind { kAnswered, kFailed, kHeard };
+  enum class Kind { kAnswered, kFailed, kPeerSpan };
   Kind kind = Kind::kAnswered;
-  int64_t at = 0;     // or when the span that was heard began
-  int64_t until = 0;  // of that span
+  int64_t at_ms = 0;     // for kPeerSpan: the start of the span
+  int64_t until_ms = 0;  // for kPeerSpan: the end of the span
 };
 
-auto Answered(int64_t at) -> Event {
-  return {Event::Kind::kAnswered, at};
+auto Answered(int64_t at_ms) -> Event {
+  return {Event::Kind::kAnswered, at_ms};
 }
-auto Failed(int64_t at) -> Event {
-  return {Event::Kind::kFailed, at};
+auto Failed(int64_t at_ms) -> Event {
+  return {Event::Kind::kFailed, at_ms};
 }
-auto Heard(int64_t since, int64_t until) -> Event {
-  return {Event::Kind::kHeard, since, until};
+auto PeerSpan(int64_t since_ms, int64_t until_ms) -> Event {
+  return {Event::Kind::kPeerSpan, since_ms, until_ms};
 }
 
-void Play(const std::vector<Event>& events, StoreAvailability* contact) {
+void Apply(const std::vector<Event>& events, StoreAvailability* availability) {
   for (const Event& event : events) {
     switch (event.kind) {
       case Event::Kind::kAnswered:
-        contact->OnAnswered(Millis(event.at));
+        availability->OnAnswered(Millis(event.at_ms));
         break;
       case Event::Kind::kFailed:
-        contact->OnFailed(Millis(event.at));
+        availability->OnFailed(Millis(event.at_ms));
         break;
-      case Event::Kind::kHeard:
-        contact->OnPeerSpan({Millis(event.at), Millis(event.until)});
+      case Event::Kind::kPeerSpan:
+        availability->OnPeerSpan({Millis(event.at_ms), Millis(event.until_ms)});
         break;
     }
   }
@@ -46,152 +47,163 @@
 
 TEST_GROUP(StoreAvailability){};
 
-TEST(StoreAvailability, TellsAnOutageFromAFailureOfThisBoxAlone) {
+TEST(StoreAvailability, DistinguishesAnOutageFromFailedCallsOfOneBox) {
   struct Case {
     const char* what;
     std::vector<Event> events;
-    int64_t since;
-    int64_t until;
-    bool may_lapse;  // records that are gone by a read at `until`
+    int64_t since_ms;
+    int64_t until_ms;
+    bool may_lapse;  // records that are missing from a list read at `until_ms`
   };
   const Case cases[] = {
       {"a box that has just started", {Answered(0)}, 0, 0, false},
-      {"calls one after the other",
+      {"regular answers",
        {Answered(0), Answered(900), Answered(1'800)},
        0,
        1'800,
        false},
-      {"a call fails, and nobody is heard",
+      {"a call fails, no peer reports",
        {Answered(0), Failed(900), Answered(1'000)},
        1'000,
        1'000,
        true},
-      {"the time for records to come back is over",
+      {"the time for records to be written again is over",
        {Answered(0), Failed(900), Answered(1'000), Answered(2'000),
         Answered(3'000), Answered(3'400)},
        1'000,
        3'400,
        false},
-      {"a call fails, and others are answered after it",
-       {Answered(0), Failed(900), Heard(0, 1'500), Answered(2'000)},
+      {"a call fails, a peer is answered before and after it",
+       {Answered(0), Failed(900), PeerSpan(0, 1'500), Answered(2'000)},
        0,
        2'000,
        false},
-      {"others are heard only later",
-       {Answered(0), Failed(900), Answered(2'000), Heard(-9'000, 2'100)},
+      {"the same, the peer reports only after this box is answered",
+       {Answered(0), Failed(900), Answered(2'000), PeerSpan(-9'000, 2'100)},
        -9'000,
        2'100,
        false},
-      {"others were answered only before the failure",
-       {Answered(0), Failed(900), Answered(2'000), Heard(0, 800)},
+      {"a peer was answered only before the failure",
+       {Answered(0), Failed(900), Answered(2'000), PeerSpan(0, 800)},
        2'000,
        2'000,
        true},
-      {"the others came back first",
-       {Answered(0), Failed(900), Failed(1'900), Heard(2'500, 2'600),
+      {"the store comes back, for a peer first",
+       {Answered(0), Failed(900), Failed(1'900), PeerSpan(2'500, 2'600),
         Answered(3'000)},
        2'500,
        3'000,
        true},
-      {"the others came back later",
-       {Answered(0), Failed(900), Answered(2'500), Heard(2'600, 3'000)},
+      {"the store comes back, for a peer later",
+       {Answered(0), Failed(900), Answered(2'500), PeerSpan(2'600, 3'000)},
        2'500,
        3'000,
        true},
-      {"no call for long", {Answered(0), Answered(2'501)}, 2'501, 2'501, true},
-      {"a box that is behind its work",
+      {"no call for longer than an overloaded box waits",
+       {Answered(0), Answered(2'501)},
+       2'501,
+       2'501,
+       true},
+      {"an overloaded box",
        {Answered(0), Answered(2'500), Answered(5'000)},
        0,
        5'000,
        false},
-      {"a bystander hears that the others came back",
-       {Heard(0, 900), Heard(4'000, 4'100)},
+      {"a box that makes no calls: peers report after an outage",
+       {PeerSpan(0, 900), PeerSpan(4'000, 4'100)},
        4'000,
        4'100,
        true},
-      {"a bystander vouches for a gap that is short",
-       {Heard(0, 900), Heard(1'700, 1'900)},
+      {"a box that makes no calls: a short gap between reports",
+       {PeerSpan(0, 900), PeerSpan(1'700, 1'900)},
        0,
        1'900,
        false},
-      {"but not if its own call failed in it",
-       {Heard(0, 900), Failed(1'000), Heard(1'700, 1'900)},
+      {"a short gap between reports, an own call failed in it",
+       {PeerSpan(0, 900), Failed(1'000), PeerSpan(1'700, 1'900)},
        1'700,
        1'900,
        true},
-      {"nor if that was one of several",
-       {Heard(0, 900), Failed(1'000), Failed(1'800), Heard(1'700, 1'900)},
+      {"a short gap between reports, the first of two calls failed in it",
+       {PeerSpan(0, 900), Failed(1'000), Failed(1'800), PeerSpan(1'700, 1'900)},
        1'700,
        1'900,
        true},
-      {"a peer that is behind changes nothing",
-       {Answered(0), Failed(900), Answered(4'000), Heard(100, 3'000)},
+      {"a peer reports a span that ended before this box's",
+       {Answered(0), Failed(900), Answered(4'000), PeerSpan(100, 3'000)},
        4'000,
        4'000,
        true},
   };
   for (const Case& row : cases) {
-    StoreAvailability contact;
-    CHECK(!contact.span());
-    Play(row.events, &contact);
-    CHECK_EQUAL_TEXT(row.since, contact.span()->since.count(), row.what);
-    CHECK_EQUAL_TEXT(row.until, contact.span()->until.count(), row.what);
+    StoreAvailability availability;
+    CHECK(!availability.span());
+    Apply(row.events, &availability);
+    CHECK_EQUAL_TEXT(row.since_ms, availability.span()->since.count(),
+                     row.what);
+    CHECK_EQUAL_TEXT(row.until_ms, availability.span()->until.count(),
+                     row.what);
     CHECK_EQUAL_TEXT(row.may_lapse,
-                     contact.RecordsMayLapse(contact.span()->until), row.what);
+                     availability.RecordsMayLapse(availability.span()->until),
+                     row.what);
   }
 }
 
-TEST(StoreAvailability, ABoxHasTheTimeOfAReadAfterTheStoreIsBack) {
+TEST(StoreAvailability, AnsweredSinceAllowsTheTimeOfAReadAfterAnOutage) {
   struct Case {
     const char* what;
     std::vector<Event> events;
-    bool answered_since;  // a list read at 0
+    bool answered_since;  // for a list read at 0
   };
   const Case cases[] = {
-      {"nobody is heard", {Answered(0)}, false},
-      {"others read", {Answered(0), Heard(-9'000, 1'150)}, false},
-      {"others read twice", {Answered(0), Heard(-9'000, 1'151)}, true},
-      {"the store is back", {Answered(0), Heard(9'000, 10'150)}, false},
-      {"for long", {Answered(0), Heard(9'000, 10'151)}, true},
+      {"no peer reports", {Answered(0)}, false},
+      {"peers read for one read interval",
+       {Answered(0), PeerSpan(-9'000, 1'150)},
+       false},
+      {"peers read for longer", {Answered(0), PeerSpan(-9'000, 1'151)}, true},
+      {"one read interval after an outage",
+       {Answered(0), PeerSpan(9'000, 10'150)},
+       false},
+      {"longer after an outage", {Answered(0), PeerSpan(9'000, 10'151)}, true},
   };
   for (const Case& row : cases) {
-    StoreAvailability contact;
-    Play(row.events, &contact);
-    CHECK_EQUAL_TEXT(row.answered_since, contact.AnsweredSince(Millis(0)),
+    StoreAvailability availability;
+    Apply(row.events, &availability);
+    CHECK_EQUAL_TEXT(row.answered_since, availability.AnsweredSince(Millis(0)),
                      row.what);
   }
 }
 
-// Boxes of which some are turned away at random while the store serves the
-// others, and which tell each other what they know: none doubts a record once
-// it has heard of one that was served all the while.
-TEST(StoreAvailability, NobodyDoubtsAStoreThatServedSomebodyAllTheWhile) {
-  testing::CheckHolds("one box served throughout", [] {
-    constexpr int64_t kStep = 400;
+// The store answers box 0 all the time, and calls of the other boxes fail at
+// random. No box assumes an outage once it has received the span of box 0.
+TEST(StoreAvailability, NoOutageIsAssumedWhileOneBoxIsAlwaysAnswered) {
+  testing::CheckHolds("one box always answered", [] {
+    constexpr int64_t kCallIntervalMs = 400;
     constexpr size_t kBoxes = 5;
-    const auto steps = *rc::gen::container<std::vector<std::vector<bool>>>(
-        rc::gen::container<std::vector<bool>>(kBoxes,
-                                              rc::gen::arbitrary<bool>()));
+    const auto answered_by_step =
+        *rc::gen::container<std::vector<std::vector<bool>>>(
+            rc::gen::container<std::vector<bool>>(kBoxes,
+                                                  rc::gen::arbitrary<bool>()));
     std::vector<StoreAvailability> boxes(kBoxes);
-    int64_t now = 0;
-    const auto tell_all = [&] {
+    int64_t now_ms = 0;
+    const auto report_to_all = [&] {
       for (StoreAvailability& box : boxes) {
         if (boxes[0].span())
           box.OnPeerSpan(*boxes[0].span());
       }
     };
-    for (const std::vector<bool>& served : steps) {
-      now += kStep;
-      boxes[0].OnAnswered(Millis(now));
+    for (const std::vector<bool>& answered : answered_by_step) {
+      now_ms += kCallIntervalMs;
+      boxes[0].OnAnswered(Millis(now_ms));
       for (size_t box = 1; box < kBoxes; ++box) {
-        if (served[box])
-          boxes[box].OnAnswered(Millis(now));
+        if (answered[box])
+          boxes[box].OnAnswered(Millis(now_ms));
         else
-          boxes[box].OnFailed(Millis(now - 1));
+          boxes[box].OnFailed(Millis(now_ms - 1));
       }
-      tell_all();
+      report_to_all();
       for (const StoreAvailability& box : boxes)
-        RC_ASSERT(!box.RecordsMayLapse(Millis(now)));
+        RC_ASSERT(!box.RecordsMayLapse(Millis(now_ms)));
     }
   });
 }
--- a/sparbend/core/store_readers_test.cc
+++ b/sparbend/core/store_readers_test.cc
@@ -1,14 +1,8 @@
-// Symptom. Requests reached engines up to 3,021 ms after the store had taken
-// that they leave; 3,000 are allowed. The list of targets was read each 1.7 s
-// in that hall, though its reader is to read it each 0.85 s.
-//
-// Cause. The box that reads for its hall had lost its way to the store, and was
-// heard by its peers as ever: the duty stayed with it, and the others waited
-// until no list was fresh, which takes 1.8 s.
-//
-// What settled it: the reader's log has the store lost from 17.6 to 26.3 s, and
-// from 20.7 s on lists that it had from peers, a second old; reads of the hall
-// at 20.76, 22.47 and 24.16 s.
+// Guards against requests that are sent to a target more than 3 s, the time
+// allowed, after the store accepted that it leaves. This happens if the box
+// that reads the store for its hall keeps this role when it can't reach the
+// store but is still live for its peers: the other boxes of the hall then read
+// the store only once no list is fresh, after 1.8 s, instead of every 0.85 s.
 #include <CppUTest/TestHarness.h>
 
 #include "testing/shared_nodes.h"
@@ -17,9 +11,10 @@
 namespace {
 
 constexpr int kHalls = 3;
-constexpr Millis kStep(10);
+constexpr Millis kStepInterval(10);
 
-// The boxes of each hall that are to read the store.
+// The boxes that read the store for each hall: by hall, their numbers, each
+// followed by a space.
 auto Readers(testing::SharedNodes* nodes)
     -> std::map<std::string, std::string> {
   std::map<std::string, std::string> readers;
@@ -31,42 +26,42 @@
 }
 
 void Run(testing::SharedNodes* nodes, Millis span) {
-  for (Millis t; t < span; t = t + kStep)
-    nodes->Step(kStep);
+  for (Millis t; t < span; t = t + kStepInterval)
+    nodes->Step(kStepInterval);
 }
 
 TEST_GROUP(StoreReaders){};
 
-TEST(StoreReaders, ABoxWithoutTheStoreHandsItsDutyOnAtOnce) {
+TEST(StoreReaders, ReaderThatLosesTheStoreIsReplacedAtOnce) {
   for (const int boxes : {9, 60}) {
     testing::SharedNodes nodes(boxes, testing::EngineTargets(20, 8), kHalls);
     for (int box = 0; box < boxes; ++box)
       nodes.at(box).SetDirectory(7, nodes.now());
     Run(&nodes, Millis(3'000));
-    const auto first = Readers(&nodes);
-    LONGS_EQUAL(kHalls, first.size());
-    // Two in a row, so that the second's failure is seen too.
-    for (int turn = 0; turn < 2; ++turn) {
+    const auto initial_readers = Readers(&nodes);
+    LONGS_EQUAL(kHalls, initial_readers.size());
+    // The second failure is that of the replacement.
+    for (int failure = 0; failure < 2; ++failure) {
       const int reader = std::stoi(Readers(&nodes)["h"]);
       nodes.at(reader).OnStoreFailed(nodes.now());
       Run(&nodes, Millis(50));
-      const auto now = Readers(&nodes);
-      LONGS_EQUAL(kHalls, now.size());
-      CHECK(std::stoi(now.at("h")) != reader);
-      // One only: a hall that reads twice pays twice.
+      const auto readers = Readers(&nodes);
+      LONGS_EQUAL(kHalls, readers.size());
+      CHECK(std::stoi(readers.at("h")) != reader);
+      // No second reader: each read of the store is paid for.
       LONGS_EQUAL(std::string::npos,
-                  now.at("h").find(' ', now.at("h").find(' ') + 1));
-      CHECK(now.at("h1") == first.at("h1"));
+                  readers.at("h").find(' ', readers.at("h").find(' ') + 1));
+      CHECK(readers.at("h1") == initial_readers.at("h1"));
     }
-    const int back = std::stoi(first.at("h"));
-    nodes.at(back).OnStoreAnswered(nodes.now());
+    const int recovered_box = std::stoi(initial_readers.at("h"));
+    nodes.at(recovered_box).OnStoreAnswered(nodes.now());
     Run(&nodes, Millis(50));
-    CHECK(Readers(&nodes) == first);
+    CHECK(Readers(&nodes) == initial_readers);
   }
 }
 
-// Then each looks in turn (PollTimer).
-TEST(StoreReaders, NobodyHasTheDutyWhereNobodyReachesTheStore) {
+// In this case each box polls the store by its own timer (PollTimer).
+TEST(StoreReaders, NoBoxHasTheRoleIfNoBoxReachesTheStore) {
   testing::SharedNodes nodes(30, testing::EngineTargets(20, 8), kHalls);
   for (int box = 0; box < nodes.size(); ++box)
     nodes.at(box).OnStoreFailed(nodes.now());
--- a/sparbend/core/target_table.cc
+++ b/sparbend/core/target_table.cc
@@ -1,10 +1,13 @@
-// Offsets decide what is newer: a list may be read from a copy that is behind,
-// and must neither bring back what was dropped since nor end what came since.
+// A record or list may arrive late, so it is compared with what is known:
 //
-// A target's own count of its signs of life goes before offsets: one that was
-// delayed on its way may be written after a later one, and would make a target
-// that leaves look ready again. The time of its birth goes before that count,
-// which starts anew with each life.
+// - Offsets: a list may be read from a replica that is behind. It must neither
+//   bring back targets that were removed since nor remove those added since.
+// - Heartbeats, which a target counts itself, precede offsets: a delayed record
+//   may be written to the log after a later one, and would make a leaving
+//   target look ready again. So of one incarnation a record is stale if its
+//   offset or its heartbeat is lower than the known one.
+// - Start times precede both, since the heartbeat count starts again with each
+//   incarnation. A record of an earlier incarnation is always stale.
 #include "sparbend/core/target_table.h"
 
 #include <algorithm>
@@ -13,28 +16,29 @@
 namespace sparbend {
 namespace {
 
-// Drops that are remembered; a list that far behind is not to be expected.
-constexpr size_t kMostDropped = 4'096;
-// A target is cold for seconds after its start; one that says it stays so for
-// longer is believed for so long, and may say it again.
-constexpr Millis kLongestCold = Millis(60'000);
-// Signs of life are read up to a second late, by turns: the end of a cold time
-// that moves by less is no news.
-constexpr Millis kColdJitter = Millis(1'000);
+// Removals that are remembered. A list that is behind by this many removals is
+// not expected.
+constexpr size_t kMaxDropped = 4'096;
+// A target is cold for seconds after its start. A longer time in a record is
+// cut to this; a later record may extend it.
+constexpr Millis kMaxColdTime = Millis(60'000);
+// Heartbeats are read with a delay that varies by up to a second, so a cold
+// time that ends later by no more than this is not a change.
+constexpr Millis kColdTimeJitter = Millis(1'000);
 
 }  // namespace
 
-auto TargetTable::IsOld(const TargetEntry& entry, int64_t offset) const
+auto TargetTable::IsStale(const TargetEntry& entry, int64_t offset) const
     -> bool {
-  const auto sign = std::tie(entry.started_at_ms, entry.beat);
+  const auto version = std::tie(entry.started_at_ms, entry.beat);
   const auto dropped = dropped_.find(entry.name);
   if (dropped != dropped_.end()) {
     const Dropped& drop = dropped->second;
-    // Where no count is told, the offset alone decides.
-    const bool counted =
+    // Without a heartbeat, the offset alone decides.
+    const bool has_version =
         entry.beat > 0 || entry.started_at_ms != drop.started_at_ms;
     if (offset <= drop.offset ||
-        (counted && sign <= std::tie(drop.started_at_ms, drop.beat)))
+        (has_version && version <= std::tie(drop.started_at_ms, drop.beat)))
       return true;
   }
   const auto found = known_.find(entry.name);
@@ -48,14 +52,14 @@
 
 auto TargetTable::Put(const TargetEntry& entry, int64_t offset, Millis now)
     -> bool {
-  if (IsOld(entry, offset))
+  if (IsStale(entry, offset))
     return false;
   const auto [found, added] = known_.try_emplace(entry.name);
   Known& known = found->second;
-  const Millis cold_until = now + std::min(entry.cold_left, kLongestCold);
-  const bool colder =
-      cold_until > std::max(now, known.cold_until) + kColdJitter;
-  const bool changed = added || colder || !(known.entry == entry);
+  const Millis cold_until = now + std::min(entry.cold_left, kMaxColdTime);
+  const bool cold_for_longer =
+      cold_until > std::max(now, known.cold_until) + kColdTimeJitter;
+  const bool changed = added || cold_for_longer || !(known.entry == entry);
   known = Known{entry, offset, false, cold_until};
   return changed;
 }
@@ -64,13 +68,13 @@
   const auto found = known_.find(name);
   if (found == known_.end() || offset < found->second.offset)
     return false;
-  RememberGone(found->second, offset + 1);
+  RecordRemoval(found->second, offset + 1);
   known_.erase(found);
   return true;
 }
 
-auto TargetTable::Lapse(std::map<std::string, Known>::iterator known,
-                        Removal removal) -> bool {
+auto TargetTable::ApplyRemoval(std::map<std::string, Known>::iterator known,
+                               Removal removal) -> bool {
   if (removal == Removal::kDoubtful) {
     known->second.lapsed = true;
     return false;
@@ -81,7 +85,7 @@
 
 auto TargetTable::Drop(const std::string& name, int64_t offset, Removal removal)
     -> bool {
-  if (dropped_.size() >= kMostDropped)
+  if (dropped_.size() >= kMaxDropped)
     dropped_.clear();
   const auto found = known_.find(name);
   Dropped& dropped = dropped_[name];
@@ -90,12 +94,13 @@
     return false;
   dropped.started_at_ms = found->second.entry.started_at_ms;
   dropped.beat = found->second.entry.beat;
-  return Lapse(found, removal);
+  return ApplyRemoval(found, removal);
 }
 
-// A box that was cut off may tell of it later still, as it knew it.
-void TargetTable::RememberGone(const Known& known, int64_t end) {
-  if (dropped_.size() >= kMostDropped)
+// A box that was cut off may still report the target later, as it last knew it.
+// Put ignores that report by the entry made here.
+void TargetTable::RecordRemoval(const Known& known, int64_t end) {
+  if (dropped_.size() >= kMaxDropped)
     dropped_.clear();
   Dropped& dropped = dropped_[known.entry.name];
   dropped = {std::max(dropped.offset, end - 1), known.entry.started_at_ms,
@@ -110,8 +115,8 @@
     const auto current = next++;
     if (names.contains(current->first) || current->second.offset >= end)
       continue;
-    RememberGone(current->second, end);
-    changed = Lapse(current, removal) || changed;
+    RecordRemoval(current->second, end);
+    changed = ApplyRemoval(current, removal) || changed;
   }
   return changed;
 }
@@ -119,11 +124,11 @@
 auto TargetTable::RetainTold(const std::set<std::string>& names, int64_t end)
     -> bool {
   return std::erase_if(known_, [&](const auto& known) {
-           const bool gone =
+           const bool removed =
                !names.contains(known.first) && known.second.offset < end;
-           if (gone)
-             RememberGone(known.second, end);
-           return gone;
+           if (removed)
+             RecordRemoval(known.second, end);
+           return removed;
          }) > 0;
 }
 
@@ -136,7 +141,7 @@
 auto TargetTable::EndLapsed() -> bool {
   return std::erase_if(known_, [this](const auto& known) {
            if (known.second.lapsed)
-             RememberGone(known.second, known.second.offset + 1);
+             RecordRemoval(known.second, known.second.offset + 1);
            return known.second.lapsed;
          }) > 0;
 }
--- a/sparbend/core/target_table.h
+++ b/sparbend/core/target_table.h
@@ -1,9 +1,13 @@
-// The targets that exist, from records that appear, change and lapse. Records
-// also lapse while the platform's store is away, though their targets live;
-// such a target is kept until it had time to tell of itself again.
+// The targets that exist, built from their records in the platform's store,
+// which appear, change and expire. Records also expire in an outage of the
+// store although their targets are alive. Such a target is kept until it has
+// had the time to write its record again.
 //
-//   book.Put(entry, offset, now); book.Drop(key, offset, Removal::kFinal);
-//   if (book.EndLapsed() || changed) use(book.entries(now));
+//   table.Put(entry, offset, now); table.Drop(key, offset, Removal::kFinal);
+//   if (table.EndLapsed() || changed) Use(table.entries(now));
+//
+// An offset is the position of a record, or of its removal, in the log of
+// target records. Does no I/O.
 #ifndef SPARBEND_CORE_TARGET_TABLE_H_
 #define SPARBEND_CORE_TARGET_TABLE_H_
 
@@ -17,57 +21,70 @@
 
 namespace sparbend {
 
-// What it means that a target's record is gone.
+// What a missing record means for its target.
 enum class Removal {
   kFinal,     // the target is gone
-  kDoubtful,  // the store may have lost the record; see StoreAvailability
+  kDoubtful,  // the record may have expired in an outage; see StoreAvailability
 };
 
 class TargetTable {
  public:
-  // A target's record; true if anything but its age changed.
+  // Adds or replaces a target by its record at `offset`, unless the record is
+  // older than what is known. True if the target changed, apart from its
+  // heartbeat; of the cold time, only an end that is later by more than a
+  // second counts.
   auto Put(const TargetEntry& entry, int64_t offset, Millis now) -> bool;
-  // A target's record is gone; true if the target is.
+  // The record of the target was removed at `offset`. True if the target was
+  // removed from the table.
   auto Drop(const std::string& name, int64_t offset, Removal removal) -> bool;
-  // The record under that name is no target's: what stood there ends, store
-  // away or not. True if anything did.
+  // The record under that name at `offset` does not describe a target. Removes
+  // the target known under the name, also after an outage of the store. True if
+  // there was one.
   auto Refute(const std::string& name, int64_t offset) -> bool;
-  // The whole list was read up to `end`: what it does not name is gone.
+  // `names` are all targets that have a record before offset `end`. Handles the
+  // others as Drop does, except those with a record at or after `end`. True if
+  // any target was removed.
   auto Retain(const std::set<std::string>& names, int64_t end, Removal removal)
       -> bool;
-  // The same by the word of another box, which has judged lapses itself.
+  // The same for the list of another box, but always removes the others: that
+  // box has decided itself which records may have expired, and lists their
+  // targets.
   auto RetainTold(const std::set<std::string>& names, int64_t end) -> bool;
 
-  // By the word of another box, the target's record at `offset` is gone,
-  // perhaps only for a while.
+  // Another box reports that the target's record at `offset` is gone, but may
+  // have expired in an outage. Ignored if a record at another offset is known.
   void SetLapsed(const std::string& name, int64_t offset);
-  // Ends the targets whose records did not come back; true if any.
+  // Removes the targets whose records expired and were not written again; true
+  // if there were any.
   auto EndLapsed() -> bool;
 
   struct Known {
     TargetEntry entry;
     int64_t offset = 0;   // of the record in the log
-    bool lapsed = false;  // its record is gone, perhaps only for a while
+    bool lapsed = false;  // the record is gone; may have expired in an outage
     Millis cold_until;    // by this box's clock
   };
 
-  // With what is left now of the time that they stay cold.
+  // All targets, with `cold_left` as of `now`.
   auto entries(Millis now) const -> std::vector<TargetEntry>;
   auto known() const -> const std::map<std::string, Known>& { return known_; }
 
  private:
-  // The target had no record before offset `end`.
-  void RememberGone(const Known& known, int64_t end);
-  auto IsOld(const TargetEntry& entry, int64_t offset) const -> bool;
-  auto Lapse(std::map<std::string, Known>::iterator known, Removal removal)
-      -> bool;
+  // Adds the target to dropped_: its record was removed before offset `end`.
+  void RecordRemoval(const Known& known, int64_t end);
+  // Whether the record is older than what is known of the target.
+  auto IsStale(const TargetEntry& entry, int64_t offset) const -> bool;
+  // Removes the target, or marks it as expired; true if it was removed.
+  auto ApplyRemoval(std::map<std::string, Known>::iterator known,
+                    Removal removal) -> bool;
 
   std::map<std::string, Known> known_;
   struct Dropped {
-    int64_t offset = 0;         // of the drop
-    int64_t started_at_ms = 0;  // of the last life known before
-    int64_t beat = 0;           // its last one known
+    int64_t offset = 0;         // of the removal
+    int64_t started_at_ms = 0;  // start time of the last known incarnation
+    int64_t beat = 0;           // last known heartbeat of that incarnation
   };
+  // Records that were removed, by target name; makes Put ignore older records.
   std::map<std::string, Dropped> dropped_;
 };
 
