--- a/sparbend/core/expired_targets_test.cc
+++ b/sparbend/core/expired_targets_test.cc
@@ -101,8 +101,9 @@
   void Update(int number) {
     Box& box = boxes_[static_cast<size_t>(number)];
     const Millis now = nodes_.now();
-    if (!nodes_.at(number).store_contact().RecordsMayLapse(box.list_read_at))
-      box.table.EndLapsed();
+    if (!nodes_.at(number).store_contact().RecordsMayHaveExpired(
+            box.list_read_at))
+      box.table.RemoveExpiredTargets();
     const bool due = box.lost_store ? now >= box.retry_at
                                     : nodes_.at(number).IsStoreReader(now) &&
                                           now - box.last_call >= kReadInterval;
@@ -125,9 +126,9 @@
     box.lost_store = false;
     nodes_.at(number).OnStoreAnswered(now);
     const Removal removal =
-        nodes_.at(number).store_contact().RecordsMayLapse(now)
-            ? Removal::kDoubtful
-            : Removal::kFinal;
+        nodes_.at(number).store_contact().RecordsMayHaveExpired(now)
+            ? Removal::kUnconfirmed
+            : Removal::kConfirmed;
     for (; box.next_record < store_.records.size(); ++box.next_record) {
       const StoreRecord& record = store_.records[box.next_record];
       const auto offset = static_cast<int64_t>(box.next_record);
@@ -157,10 +158,10 @@
     for (const auto& [name, known] : freshest->table.known()) {
       names.insert(name);
       box.table.Put(known.entry, known.offset, nodes_.now());
-      if (known.lapsed)
-        box.table.SetLapsed(name, known.offset);
+      if (known.record_expired)
+        box.table.SetRecordExpired(name, known.offset);
     }
-    box.table.RetainTold(names, static_cast<int64_t>(freshest->list_end));
+    box.table.RetainFromPeer(names, static_cast<int64_t>(freshest->list_end));
     box.list_end = freshest->list_end;
     box.list_read_at = freshest->list_read_at;
     nodes_.at(number).SetDirectory(1, box.list_read_at);
--- a/sparbend/core/list_reading.cc
+++ b/sparbend/core/list_reading.cc
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-auto ReadNow(const ListReading& state) -> bool {
+auto ShouldReadStore(const ListReading& state) -> bool {
   if (!state.has_list)
     return true;
   // A box that lost the store has given its reader role to another box, whose
@@ -21,7 +21,7 @@
   // again and so never notice that it can reach it.
   if (state.lost_store && state.poll_due && state.since_read >= kReadInterval)
     return true;
-  if (state.peer_check == PeerListCheck::kSpared)
+  if (state.peer_check == PeerListCheck::kUpToDate)
     return false;
   const bool reads_at_interval =
       state.is_hall_reader || state.peer_check == PeerListCheck::kFailed;
--- a/sparbend/core/list_reading.h
+++ b/sparbend/core/list_reading.h
@@ -2,7 +2,8 @@
 // now. Usually one box of each hall reads it, and the others copy a fresh list
 // from a peer; they read the store themselves when that fails.
 //
-//   if (ReadNow({known, has_role, lost, peer_check, now - read_at, poll_due}))
+//   if (ShouldReadStore({known, has_role, lost, peer_check, now - read_at,
+//   poll_due}))
 //     ...  // read the store
 #ifndef SPARBEND_CORE_LIST_READING_H_
 #define SPARBEND_CORE_LIST_READING_H_
@@ -13,9 +14,9 @@
 
 // Result of a check of the peers' lists.
 enum class PeerListCheck {
-  kSpared,   // this box has a list as fresh as any, perhaps just copied
-  kNothing,  // no peer has a fresh list
-  kFailed,   // a peer has a newer list, and this box did not get it
+  kUpToDate,  // this box has a list as fresh as any, perhaps just copied
+  kNothing,   // no peer has a fresh list
+  kFailed,    // a peer has a newer list, and this box did not get it
 };
 
 struct ListReading {
@@ -29,7 +30,7 @@
 };
 
 // Whether to read the store now.
-auto ReadNow(const ListReading& state) -> bool;
+auto ShouldReadStore(const ListReading& state) -> bool;
 
 }  // namespace sparbend
 
--- a/sparbend/core/list_reading_test.cc
+++ b/sparbend/core/list_reading_test.cc
@@ -24,7 +24,7 @@
        {true, true, false, PeerListCheck::kNothing, Millis(900), false},
        true},
       {"up to date with the peers, poll due",
-       {true, false, false, PeerListCheck::kSpared, Millis(9'000), true},
+       {true, false, false, PeerListCheck::kUpToDate, Millis(9'000), true},
        false},
       {"no fresh list, poll not due",
        {true, false, false, PeerListCheck::kNothing, Millis(9'000), false},
@@ -36,20 +36,20 @@
        {true, false, false, PeerListCheck::kFailed, Millis(9'000), false},
        true},
       {"lost the store, up to date, poll not due",
-       {true, false, true, PeerListCheck::kSpared, Millis(9'000), false},
+       {true, false, true, PeerListCheck::kUpToDate, Millis(9'000), false},
        false},
       {"lost the store, up to date, poll due",
-       {true, false, true, PeerListCheck::kSpared, Millis(9'000), true},
+       {true, false, true, PeerListCheck::kUpToDate, Millis(9'000), true},
        true},
       {"lost the store, up to date, poll due, called a moment ago",
-       {true, false, true, PeerListCheck::kSpared, Millis(100), true},
+       {true, false, true, PeerListCheck::kUpToDate, Millis(100), true},
        false},
       {"newer list of a peer not received, read a moment ago",
        {true, false, false, PeerListCheck::kFailed, Millis(100), false},
        false},
   };
   for (const Case& row : cases)
-    CHECK_EQUAL_TEXT(row.read_now, ReadNow(row.state), row.what);
+    CHECK_EQUAL_TEXT(row.read_now, ShouldReadStore(row.state), row.what);
 }
 
 }  // namespace
--- a/sparbend/core/poll_timer.h
+++ b/sparbend/core/poll_timer.h
@@ -20,20 +20,20 @@
 namespace sparbend {
 
 // How often the boxes of a fleet poll.
-struct LookRate {
+struct PollRate {
   // The mean wait of one box between polls, per box in the fleet.
   int64_t mean_ms_per_box = 110;
   // The upper limit of the mean wait of one box.
   int64_t max_mean_ms = 20'000;
 
-  auto operator==(const LookRate&) const -> bool = default;
+  auto operator==(const PollRate&) const -> bool = default;
 };
 
 class PollTimer {
  public:
   // Boxes must have different seeds, so that they poll at different times. The
   // first poll is due at once.
-  explicit PollTimer(uint64_t seed, LookRate rate = {})
+  explicit PollTimer(uint64_t seed, PollRate rate = {})
       : random_(seed), rate_(rate) {}
 
   auto Due(Millis now) const -> bool { return now >= due_; }
@@ -44,7 +44,7 @@
 
  private:
   std::mt19937_64 random_;
-  LookRate rate_;
+  PollRate rate_;
   Millis due_;
 };
 
--- a/sparbend/core/store_availability.cc
+++ b/sparbend/core/store_availability.cc
@@ -71,7 +71,7 @@
   span_->until = std::max(span_->until, span.until);
 }
 
-auto StoreAvailability::RecordsMayLapse(Millis read_at) const -> bool {
+auto StoreAvailability::RecordsMayHaveExpired(Millis read_at) const -> bool {
   return after_outage_ && span_ && read_at < span_->since + kRewriteTime;
 }
 
--- a/sparbend/core/store_availability.h
+++ b/sparbend/core/store_availability.h
@@ -6,7 +6,7 @@
 //
 //   availability.OnAnswered(now); availability.OnFailed(sent);
 //   availability.OnPeerSpan(span_of_a_peer);
-//   if (availability.RecordsMayLapse(read_at))
+//   if (availability.RecordsMayHaveExpired(read_at))
 //     ...  // a missing record does not prove that its target is gone
 //
 // Does no I/O; all calls are O(1). Times are by this box's clock.
@@ -43,7 +43,7 @@
   // Whether a record that was missing when the list was read at `read_at` may
   // have expired in an outage of the store although its owner is alive. Live
   // owners write their records again within a short time after the outage.
-  auto RecordsMayLapse(Millis read_at) const -> bool;
+  auto RecordsMayHaveExpired(Millis read_at) const -> bool;
   // Whether the store has been available, after both `read_at` and the end of
   // its last outage, for longer than the usual time between two reads. Then a
   // box with a list read at `read_at` has had the time to read a newer one.
--- a/sparbend/core/store_availability_test.cc
+++ b/sparbend/core/store_availability_test.cc
@@ -143,9 +143,10 @@
                      row.what);
     CHECK_EQUAL_TEXT(row.until_ms, availability.span()->until.count(),
                      row.what);
-    CHECK_EQUAL_TEXT(row.may_lapse,
-                     availability.RecordsMayLapse(availability.span()->until),
-                     row.what);
+    CHECK_EQUAL_TEXT(
+        row.may_lapse,
+        availability.RecordsMayHaveExpired(availability.span()->until),
+        row.what);
   }
 }
 
@@ -203,7 +204,7 @@
       }
       report_to_all();
       for (const StoreAvailability& box : boxes)
-        RC_ASSERT(!box.RecordsMayLapse(Millis(now_ms)));
+        RC_ASSERT(!box.RecordsMayHaveExpired(Millis(now_ms)));
     }
   });
 }
--- a/sparbend/core/target_restarts_test.cc
+++ b/sparbend/core/target_restarts_test.cc
@@ -40,7 +40,7 @@
   return {Step::Kind::kDrop, offset, {}};
 }
 
-auto Refute(int64_t offset) -> Step {
+auto RejectRecord(int64_t offset) -> Step {
   return {Step::Kind::kRefute, offset, {}};
 }
 
@@ -64,10 +64,10 @@
       book->Put(step.entry, step.offset, Millis(0));
       break;
     case Step::Kind::kDrop:
-      book->Drop("a", step.offset, Removal::kFinal);
+      book->Drop("a", step.offset, Removal::kConfirmed);
       break;
     case Step::Kind::kRefute:
-      book->Refute("a", step.offset);
+      book->RejectRecord("a", step.offset);
       break;
   }
 }
@@ -109,15 +109,15 @@
 
 TEST(TargetRestarts, ARecordOfNoTargetEndsWhatStoodUnderItsName) {
   const std::vector<Row> rows = {
-      {"at once", {Put(1, Entry(100, 5)), Refute(2)}, ""},
+      {"at once", {Put(1, Entry(100, 5)), RejectRecord(2)}, ""},
       {"until the target tells of itself again",
-       {Put(1, Entry(100, 5)), Refute(2), Put(3, Entry(100, 6))},
+       {Put(1, Entry(100, 5)), RejectRecord(2), Put(3, Entry(100, 6))},
        "100/6"},
       {"an older one changes nothing",
-       {Put(3, Entry(100, 5)), Refute(2)},
+       {Put(3, Entry(100, 5)), RejectRecord(2)},
        "100/5"},
       {"what was known before does not come back",
-       {Put(1, Entry(100, 5)), Refute(2), Put(1, Entry(100, 5))},
+       {Put(1, Entry(100, 5)), RejectRecord(2), Put(1, Entry(100, 5))},
        ""},
   };
   for (const Row& row : rows) {
@@ -132,8 +132,8 @@
 TEST(TargetRestarts, ARecordOfNoTargetEndsItWhileTheStoreSettlesToo) {
   TargetTable book;
   book.Put(Entry(100, 5), 1, Millis(0));
-  CHECK(!book.Drop("a", 2, Removal::kDoubtful));
-  CHECK(book.Refute("a", 3));
+  CHECK(!book.Drop("a", 2, Removal::kUnconfirmed));
+  CHECK(book.RejectRecord("a", 3));
   STRCMP_EQUAL("", Tell(book).c_str());
 }
 
--- a/sparbend/core/target_table.cc
+++ b/sparbend/core/target_table.cc
@@ -64,7 +64,8 @@
   return changed;
 }
 
-auto TargetTable::Refute(const std::string& name, int64_t offset) -> bool {
+auto TargetTable::RejectRecord(const std::string& name, int64_t offset)
+    -> bool {
   const auto found = known_.find(name);
   if (found == known_.end() || offset < found->second.offset)
     return false;
@@ -75,8 +76,8 @@
 
 auto TargetTable::ApplyRemoval(std::map<std::string, Known>::iterator known,
                                Removal removal) -> bool {
-  if (removal == Removal::kDoubtful) {
-    known->second.lapsed = true;
+  if (removal == Removal::kUnconfirmed) {
+    known->second.record_expired = true;
     return false;
   }
   known_.erase(known);
@@ -121,8 +122,8 @@
   return changed;
 }
 
-auto TargetTable::RetainTold(const std::set<std::string>& names, int64_t end)
-    -> bool {
+auto TargetTable::RetainFromPeer(const std::set<std::string>& names,
+                                 int64_t end) -> bool {
   return std::erase_if(known_, [&](const auto& known) {
            const bool removed =
                !names.contains(known.first) && known.second.offset < end;
@@ -132,17 +133,17 @@
          }) > 0;
 }
 
-void TargetTable::SetLapsed(const std::string& name, int64_t offset) {
+void TargetTable::SetRecordExpired(const std::string& name, int64_t offset) {
   const auto found = known_.find(name);
   if (found != known_.end() && found->second.offset == offset)
-    found->second.lapsed = true;
+    found->second.record_expired = true;
 }
 
-auto TargetTable::EndLapsed() -> bool {
+auto TargetTable::RemoveExpiredTargets() -> bool {
   return std::erase_if(known_, [this](const auto& known) {
-           if (known.second.lapsed)
+           if (known.second.record_expired)
              RecordRemoval(known.second, known.second.offset + 1);
-           return known.second.lapsed;
+           return known.second.record_expired;
          }) > 0;
 }
 
--- a/sparbend/core/target_table.h
+++ b/sparbend/core/target_table.h
@@ -3,8 +3,9 @@
 // store although their targets are alive. Such a target is kept until it has
 // had the time to write its record again.
 //
-//   table.Put(entry, offset, now); table.Drop(key, offset, Removal::kFinal);
-//   if (table.EndLapsed() || changed) Use(table.entries(now));
+//   table.Put(entry, offset, now); table.Drop(key, offset,
+//   Removal::kConfirmed); if (table.RemoveExpiredTargets() || changed)
+//   Use(table.entries(now));
 //
 // An offset is the position of a record, or of its removal, in the log of
 // target records. Does no I/O.
@@ -23,8 +24,9 @@
 
 // What a missing record means for its target.
 enum class Removal {
-  kFinal,     // the target is gone
-  kDoubtful,  // the record may have expired in an outage; see StoreAvailability
+  kConfirmed,    // the target is gone
+  kUnconfirmed,  // the record may have expired in an outage; see
+                 // StoreAvailability
 };
 
 class TargetTable {
@@ -40,7 +42,7 @@
   // The record under that name at `offset` does not describe a target. Removes
   // the target known under the name, also after an outage of the store. True if
   // there was one.
-  auto Refute(const std::string& name, int64_t offset) -> bool;
+  auto RejectRecord(const std::string& name, int64_t offset) -> bool;
   // `names` are all targets that have a record before offset `end`. Handles the
   // others as Drop does, except those with a record at or after `end`. True if
   // any target was removed.
@@ -49,20 +51,21 @@
   // The same for the list of another box, but always removes the others: that
   // box has decided itself which records may have expired, and lists their
   // targets.
-  auto RetainTold(const std::set<std::string>& names, int64_t end) -> bool;
+  auto RetainFromPeer(const std::set<std::string>& names, int64_t end) -> bool;
 
   // Another box reports that the target's record at `offset` is gone, but may
   // have expired in an outage. Ignored if a record at another offset is known.
-  void SetLapsed(const std::string& name, int64_t offset);
+  void SetRecordExpired(const std::string& name, int64_t offset);
   // Removes the targets whose records expired and were not written again; true
   // if there were any.
-  auto EndLapsed() -> bool;
+  auto RemoveExpiredTargets() -> bool;
 
   struct Known {
     TargetEntry entry;
-    int64_t offset = 0;   // of the record in the log
-    bool lapsed = false;  // the record is gone; may have expired in an outage
-    Millis cold_until;    // by this box's clock
+    int64_t offset = 0;  // of the record in the log
+    bool record_expired =
+        false;          // the record is gone; may have expired in an outage
+    Millis cold_until;  // by this box's clock
   };
 
   // All targets, with `cold_left` as of `now`.
--- a/sparbend/core/target_table_test.cc
+++ b/sparbend/core/target_table_test.cc
@@ -32,11 +32,11 @@
   // An older record does not undo leaving, ...
   CHECK(!table.Put(Entry("a"), 1, Millis(0)));
   STRCMP_EQUAL("a- ", Names(table).c_str());
-  CHECK(table.Drop("a", 5, Removal::kFinal));
+  CHECK(table.Drop("a", 5, Removal::kConfirmed));
   // ... nor a removal.
   CHECK(!table.Put(Entry("a"), 4, Millis(0)));
   CHECK(table.Put(Entry("a"), 6, Millis(0)));
-  CHECK(!table.Drop("a", 5, Removal::kFinal));
+  CHECK(!table.Drop("a", 5, Removal::kConfirmed));
   STRCMP_EQUAL("a ", Names(table).c_str());
 }
 
@@ -51,7 +51,7 @@
   // A delayed record does not undo leaving, ...
   CHECK(!table.Put(entry(false, 6), 3, Millis(0)));
   STRCMP_EQUAL("a- ", Names(table).c_str());
-  CHECK(table.Drop("a", 4, Removal::kFinal));
+  CHECK(table.Drop("a", 4, Removal::kConfirmed));
   // ... nor a removal.
   CHECK(!table.Put(entry(false, 6), 5, Millis(0)));
   STRCMP_EQUAL("", Names(table).c_str());
@@ -61,7 +61,7 @@
 
 TEST(TargetTable, TargetRemovedByAPeersListIsNotRestoredByAStalePeer) {
   table.Put(Entry("a"), 3, Millis(0));
-  CHECK(table.RetainTold({}, 9));
+  CHECK(table.RetainFromPeer({}, 9));
   // Reported by a box that was cut off.
   CHECK(!table.Put(Entry("a"), 3, Millis(0)));
   STRCMP_EQUAL("", Names(table).c_str());
@@ -72,7 +72,7 @@
 TEST(TargetTable, FullListRemovesUnnamedTargetsUnlessTheyAreNewer) {
   table.Put(Entry("old"), 1, Millis(0));
   table.Put(Entry("new"), 9, Millis(0));
-  CHECK(table.Retain({}, 5, Removal::kFinal));
+  CHECK(table.Retain({}, 5, Removal::kConfirmed));
   STRCMP_EQUAL("new ", Names(table).c_str());
 }
 
@@ -80,14 +80,14 @@
   table.Put(Entry("back"), 1, Millis(0));
   table.Put(Entry("gone"), 2, Millis(0));
   table.Put(Entry("unlisted"), 3, Millis(0));
-  CHECK(!table.Drop("back", 4, Removal::kDoubtful));
-  CHECK(!table.Drop("gone", 5, Removal::kDoubtful));
-  CHECK(!table.Retain({}, 6, Removal::kDoubtful));
+  CHECK(!table.Drop("back", 4, Removal::kUnconfirmed));
+  CHECK(!table.Drop("gone", 5, Removal::kUnconfirmed));
+  CHECK(!table.Retain({}, 6, Removal::kUnconfirmed));
   STRCMP_EQUAL("back gone unlisted ", Names(table).c_str());
   table.Put(Entry("back"), 6, Millis(0));
-  CHECK(table.EndLapsed());
+  CHECK(table.RemoveExpiredTargets());
   STRCMP_EQUAL("back ", Names(table).c_str());
-  CHECK(!table.EndLapsed());
+  CHECK(!table.RemoveExpiredTargets());
   // Reported by a box that is behind.
   CHECK(!table.Put(Entry("gone"), 2, Millis(0)));
   STRCMP_EQUAL("back ", Names(table).c_str());
@@ -95,8 +95,8 @@
 
 TEST(TargetTable, ConfirmedDropRemovesAKeptTarget) {
   table.Put(Entry("a"), 1, Millis(0));
-  CHECK(!table.Drop("a", 2, Removal::kDoubtful));
-  CHECK(table.Drop("a", 3, Removal::kFinal));
+  CHECK(!table.Drop("a", 2, Removal::kUnconfirmed));
+  CHECK(table.Drop("a", 3, Removal::kConfirmed));
   STRCMP_EQUAL("", Names(table).c_str());
 }
 
@@ -104,11 +104,11 @@
   table.Put(Entry("a"), 1, Millis(0));
   table.Put(Entry("b"), 2, Millis(0));
   table.Put(Entry("c"), 3, Millis(0));
-  table.SetLapsed("b", 2);
-  table.SetLapsed("c", 2);  // ignored: the known record is newer
-  CHECK(table.RetainTold({"b", "c"}, 4));
+  table.SetRecordExpired("b", 2);
+  table.SetRecordExpired("c", 2);  // ignored: the known record is newer
+  CHECK(table.RetainFromPeer({"b", "c"}, 4));
   STRCMP_EQUAL("b c ", Names(table).c_str());
-  CHECK(table.EndLapsed());
+  CHECK(table.RemoveExpiredTargets());
   STRCMP_EQUAL("c ", Names(table).c_str());
 }
 
@@ -131,14 +131,14 @@
       if (seen && exists)
         table.Put(Entry(name), offset, Millis(0));
       else if (seen)
-        table.Drop(name, offset, Removal::kFinal);
+        table.Drop(name, offset, Removal::kConfirmed);
       ++offset;
     }
     // A full list gives the offset of each of its records. Any offset that is
     // below its end and not below those read before has the same effect.
     for (const std::string& name : expected)
       table.Put(Entry(name), offset, Millis(0));
-    table.Retain(expected, offset + 1, Removal::kFinal);
+    table.Retain(expected, offset + 1, Removal::kConfirmed);
     std::set<std::string> names;
     for (const TargetEntry& entry : table.entries(Millis(0)))
       names.insert(entry.name);
--- a/sparbend/services/declarations.cc
+++ b/sparbend/services/declarations.cc
@@ -25,7 +25,7 @@
 // it, and look for themselves now and then (PollTimer), in case all who wait
 // are cut off. While boxes that wait are heard to reach the store, others look
 // about twice a second in the whole fleet.
-constexpr LookRate kRareLooks = {550, 300'000};
+constexpr PollRate kRareLooks = {550, 300'000};
 constexpr Millis kLook = Millis(50);
 // What peers have is asked of the store first, for so long.
 constexpr Millis kStoreFirst = Millis(300);
--- a/sparbend/services/directory.cc
+++ b/sparbend/services/directory.cc
@@ -57,12 +57,17 @@
   const bool cold = entry.cold_left > Millis(0);
   const Millis cold_left =
       cold ? std::max(Millis(1), known.cold_until - now) : Millis(0);
-  return Json{{"name", entry.name},           {"hall", entry.hall},
-              {"pool", entry.pool},           {"address", entry.address},
-              {"slots", entry.slots},         {"leaving", entry.leaving},
-              {"born", entry.started_at_ms},  {"beat", entry.beat},
-              {"cold_ms", cold_left.count()}, {"offset", known.offset},
-              {"lapsed", known.lapsed}};
+  return Json{{"name", entry.name},
+              {"hall", entry.hall},
+              {"pool", entry.pool},
+              {"address", entry.address},
+              {"slots", entry.slots},
+              {"leaving", entry.leaving},
+              {"born", entry.started_at_ms},
+              {"beat", entry.beat},
+              {"cold_ms", cold_left.count()},
+              {"offset", known.offset},
+              {"lapsed", known.record_expired}};
 }
 
 auto TargetFrom(const Json& json, int64_t* offset)
@@ -170,7 +175,7 @@
   Json kept = Json::array();
   bool changed = false;
   for (const auto& [name, known] : book_.known()) {
-    if (!known.lapsed)
+    if (!known.record_expired)
       continue;
     const auto before = kept_since_.find(name);
     const bool first = before == kept_since_.end();
@@ -225,8 +230,10 @@
 
 auto Directory::TakeTargets(const KeyedPage& page) -> bool {
   const Millis now = kernel_->Now();
-  const bool doubtful = scheduler_->node().store_contact().RecordsMayLapse(now);
-  const Removal removal = doubtful ? Removal::kDoubtful : Removal::kFinal;
+  const bool doubtful =
+      scheduler_->node().store_contact().RecordsMayHaveExpired(now);
+  const Removal removal =
+      doubtful ? Removal::kUnconfirmed : Removal::kConfirmed;
   bool changed = false;
   std::set<std::string> names;
   for (const KeyedRecord& record : page.records) {
@@ -242,7 +249,7 @@
       continue;
     }
     // Others may write there too; what they write names no target to use.
-    const bool ended = book_.Refute(record.key, record.offset);
+    const bool ended = book_.RejectRecord(record.key, record.offset);
     changed = ended || changed;
     Log(LogLevel::kError, "target-unreadable",
         {{"target", record.key},
@@ -292,8 +299,8 @@
   store_.OnGood(now);
   scheduler_->node().OnStoreAnswered(now);
   bool changed = TakeTargets(*page) || !known_;
-  if (!scheduler_->node().store_contact().RecordsMayLapse(now))
-    changed = book_.EndLapsed() || changed;
+  if (!scheduler_->node().store_contact().RecordsMayHaveExpired(now))
+    changed = book_.RemoveExpiredTargets() || changed;
   known_ = true;
   digest_.reset();
   SetTold(now);
@@ -304,9 +311,9 @@
 
 // What was doubtful when it was read need be so no longer, since a peer was
 // heard that reached the store all the while.
-void Directory::EndLapsed() {
-  if (scheduler_->node().store_contact().RecordsMayLapse(told_) ||
-      !book_.EndLapsed())
+void Directory::RemoveExpiredTargets() {
+  if (scheduler_->node().store_contact().RecordsMayHaveExpired(told_) ||
+      !book_.RemoveExpiredTargets())
     return;
   digest_.reset();
   SetTold(told_);
@@ -323,11 +330,11 @@
   if (freshest->digest == Digest()) {
     if (freshest->read_at > told_)
       SetTold(freshest->read_at);
-    co_return PeerListCheck::kSpared;
+    co_return PeerListCheck::kUpToDate;
   }
   // Ours is younger, or is that one.
   if (freshest->read_at <= std::max(told_, asked_for_ + kLook))
-    co_return PeerListCheck::kSpared;
+    co_return PeerListCheck::kUpToDate;
   const Json nothing = Json::object();
   const Result<Json> answer =
       co_await peers_->Call(freshest->box, kMethod, nothing, kListCallTime);
@@ -335,14 +342,14 @@
   if (answer)
     asked_for_ = freshest->read_at;
   co_await Sleep(kLook);  // a list that was not taken is not asked for at once
-  co_return answer ? PeerListCheck::kSpared : PeerListCheck::kFailed;
+  co_return answer ? PeerListCheck::kUpToDate : PeerListCheck::kFailed;
 }
 
 auto Directory::FollowTargets() -> asio::awaitable<void> {
   KeyedLogReader reader(feed_->targets);
   Millis read_at;
   while (true) {
-    EndLapsed();
+    RemoveExpiredTargets();
     const Millis now = kernel_->Now();
     const bool duty = scheduler_->node().IsStoreReader(now);
     PeerListCheck look = PeerListCheck::kNothing;
@@ -352,11 +359,11 @@
     if (look == PeerListCheck::kNothing &&
         scheduler_->node().ListOutOfDate(now + kReadBefore))
       look = PeerListCheck::kFailed;
-    if (!ReadNow({known_, duty, store_.lost(), look, now - read_at,
-                  looks_.Due(now)})) {
+    if (!ShouldReadStore({known_, duty, store_.lost(), look, now - read_at,
+                          looks_.Due(now)})) {
       // A box whose turn came while it was spared would read at once when words
       // stop, and all others of its hall with it.
-      if (look == PeerListCheck::kSpared && looks_.Due(now))
+      if (look == PeerListCheck::kUpToDate && looks_.Due(now))
         looks_.MarkPolled(scheduler_->node().members().list().boxes.size(),
                           now);
       co_await kernel_->SleepToTick(kLook);
@@ -494,9 +501,9 @@
     names.insert(entry->name);
     changed = book_.Put(*entry, offset, now) || changed;
     if (FieldReader(*json, "target", &problems).Bool("lapsed", false))
-      book_.SetLapsed(entry->name, offset);
+      book_.SetRecordExpired(entry->name, offset);
   }
-  changed = book_.RetainTold(names, end) || changed;
+  changed = book_.RetainFromPeer(names, end) || changed;
   if (const Json* boxes = reader.Object("boxes"); boxes != nullptr) {
     for (const auto& [name, json] : boxes->items()) {
       const auto entry = BoxFrom(name, json);
--- a/sparbend/services/directory.h
+++ b/sparbend/services/directory.h
@@ -66,7 +66,7 @@
   void Publish();
   void LogPublished(const MemberList& list);
   void NoteKept();
-  void EndLapsed();
+  void RemoveExpiredTargets();
 
   Kernel* kernel_;
   Settings settings_;
--- a/sparbend/services/runner.cc
+++ b/sparbend/services/runner.cc
@@ -257,7 +257,8 @@
 
 auto Runner::ClaimKey(const RequestContext& exchange)
     -> asio::awaitable<std::optional<Refusal>> {
-  if (const auto why = WhyKeyRefused(exchange.idempotency_key, WallClock()))
+  if (const auto why =
+          CheckIdempotencyKey(exchange.idempotency_key, WallClock()))
     co_return Refusal{kBadRequest, Verdict::kNotRun, *why, Millis(0)};
   const ClaimAnswer answer =
       co_await claims_->Claim(exchange.workspace->number,
