--- a/sparbend/core/target_restarts_test.cc
+++ b/sparbend/core/target_restarts_test.cc
@@ -42,7 +42,7 @@
   return {Step::Kind::kDrop, offset, {}};
 }
 
-auto Refute(int64_t offset) -> Step {
+auto RejectRecord(int64_t offset) -> Step {
   return {Step::Kind::kRefute, offset, {}};
 }
 
@@ -67,10 +67,10 @@
       table->Put(step.entry, step.offset, Millis(0));
       break;
     case Step::Kind::kDrop:
-      table->Drop("a", step.offset, Removal::kFinal);
+      table->Drop("a", step.offset, Removal::kConfirmed);
       break;
     case Step::Kind::kRefute:
-      table->Refute("a", step.offset);
+      table->RejectRecord("a", step.offset);
       break;
   }
 }
@@ -112,15 +112,15 @@
 
 TEST(TargetRestarts, ARejectedRecordRemovesTheEntryOfItsName) {
   const std::vector<Row> rows = {
-      {"immediately", {Put(1, Entry(100, 5)), Refute(2)}, ""},
+      {"immediately", {Put(1, Entry(100, 5)), RejectRecord(2)}, ""},
       {"until the target writes a record again",
-       {Put(1, Entry(100, 5)), Refute(2), Put(3, Entry(100, 6))},
+       {Put(1, Entry(100, 5)), RejectRecord(2), Put(3, Entry(100, 6))},
        "100/6"},
       {"an older record has no effect",
-       {Put(3, Entry(100, 5)), Refute(2)},
+       {Put(3, Entry(100, 5)), RejectRecord(2)},
        "100/5"},
       {"a record read before does not return",
-       {Put(1, Entry(100, 5)), Refute(2), Put(1, Entry(100, 5))},
+       {Put(1, Entry(100, 5)), RejectRecord(2), Put(1, Entry(100, 5))},
        ""},
   };
   for (const Row& row : rows) {
@@ -136,8 +136,8 @@
 TEST(TargetRestarts, ARejectedRecordRemovesTheEntryDuringAStoreOutage) {
   TargetTable table;
   table.Put(Entry(100, 5), 1, Millis(0));
-  CHECK(!table.Drop("a", 2, Removal::kDoubtful));
-  CHECK(table.Refute("a", 3));
+  CHECK(!table.Drop("a", 2, Removal::kUnconfirmed));
+  CHECK(table.RejectRecord("a", 3));
   STRCMP_EQUAL("", Describe(table).c_str());
 }
 
