--- a/sparbend/core/catalog.cc
+++ b/sparbend/core/catalog.cc
@@ -1,8 +1,12 @@
-// A workspace is made in two steps: parameters are bound (given value, else
-// default; type and bounds checked), then the template's body is copied with
-// every "$name" replaced by its value, and the copy is read like any table.
-// Substituting whole values rather than text keeps types: "$share" becomes a
-// number, and no value can smuggle in further fields.
+// A workspace is instantiated in two steps. First the parameters are bound: the
+// given value or else the default, with type and bounds checked. Then the body
+// of the template is copied with each "$name" replaced by its value, and the
+// copy is read like any other table. Values are substituted as a whole, not as
+// text, so they keep their types ("$share" becomes a number) and can't inject
+// further fields.
+//
+// The texts of problems are part of the replicated state (Decision::cause in
+// config_fold.h): boxes whose texts differ compute different digests.
 #include "sparbend/core/catalog.h"
 
 #include <algorithm>
@@ -13,9 +17,9 @@
 constexpr int64_t kMaxShare = 1'000'000;
 constexpr int64_t kMaxWeight = 1'000;
 constexpr int64_t kMaxCallCost = 1'000'000;
-constexpr Range kQueueRequests = {1, 100'000};
-constexpr Range kQueueBytes = {1'024, 1'073'741'824};
-constexpr Range kQueueTimeMs = {1, 3'600'000};
+constexpr Range kQueueRequestsRange = {1, 100'000};
+constexpr Range kQueueBytesRange = {1'024, 1'073'741'824};
+constexpr Range kQueueTimeMsRange = {1, 3'600'000};
 constexpr int64_t kDefaultQueueRequests = 256;
 constexpr int64_t kDefaultQueueBytes = 8'388'608;
 constexpr int64_t kDefaultQueueTimeMs = 30'000;
@@ -33,7 +37,7 @@
          std::ranges::all_of(value, is_string);
 }
 
-// Reads a parameter's declaration; checks `value` against it when present.
+// Checks a parameter's declaration, and `value` against it unless it is null.
 void CheckParameter(const Json& declaration,
                     const Json* value,
                     const std::string& declared_at,
@@ -64,7 +68,7 @@
   }
 }
 
-// Each parameter's value: given, else default.
+// Returns the value of each parameter: the given one, or else the default.
 auto BindParameters(const Json& declared,
                     const Json& given,
                     const std::string& path,
@@ -92,12 +96,14 @@
   return bound;
 }
 
-// A copy of `body` with each "$name" replaced by its bound value.
+// Returns a copy of `body` with each "$name" replaced by its bound value. A
+// name that is not bound stays as text.
 auto Substitute(const Json& body, const Json& bound) -> Json {
   if (body.is_string()) {
     const std::string text = body.get<std::string>();
-    const bool refers = text.starts_with("$") && bound.contains(text.substr(1));
-    return refers ? bound.at(text.substr(1)) : body;
+    const bool is_parameter =
+        text.starts_with("$") && bound.contains(text.substr(1));
+    return is_parameter ? bound.at(text.substr(1)) : body;
   }
   if (!body.is_structured())
     return body;
@@ -107,12 +113,12 @@
   return copy;
 }
 
-// The table `name` of a template that may itself be wrong: empty unless both
-// are tables. What is wrong with it is reported where it is checked.
-auto TableIn(const Json& content, const char* name) -> Json {
-  const bool there = content.is_object() && content.contains(name) &&
-                     content.at(name).is_object();
-  return there ? content.at(name) : Json::object();
+// Returns the table `name` of a template, or an empty table if either is not a
+// table. CheckTemplate reports such a template.
+auto TableOrEmpty(const Json& content, const char* name) -> Json {
+  const bool is_table = content.is_object() && content.contains(name) &&
+                        content.at(name).is_object();
+  return is_table ? content.at(name) : Json::object();
 }
 
 auto ReadOnceRule(const Json& table,
@@ -135,12 +141,12 @@
   workspace->share = reader.Integer("share", {1, kMaxShare}, 1);
   workspace->halls = reader.Strings("halls");
   workspace->pools = reader.Strings("pools");
-  workspace->queue_requests =
-      reader.Integer("queue_requests", kQueueRequests, kDefaultQueueRequests);
+  workspace->queue_requests = reader.Integer(
+      "queue_requests", kQueueRequestsRange, kDefaultQueueRequests);
   workspace->queue_bytes =
-      reader.Integer("queue_bytes", kQueueBytes, kDefaultQueueBytes);
+      reader.Integer("queue_bytes", kQueueBytesRange, kDefaultQueueBytes);
   workspace->queue_time = Millis(
-      reader.Integer("queue_time_ms", kQueueTimeMs, kDefaultQueueTimeMs));
+      reader.Integer("queue_time_ms", kQueueTimeMsRange, kDefaultQueueTimeMs));
   for (const Json* rule : reader.Objects("once"))
     workspace->once.push_back(
         ReadOnceRule(*rule, reader.PathOf("once"), problems));
@@ -165,9 +171,9 @@
       routes_(std::move(routes)),
       limits_(limits) {
   for (const auto& [name, workspace] : workspaces_) {
-    workspace_of_number_[workspace.number] = name;
+    workspace_by_number_[workspace.number] = name;
     for (const std::string& key : workspace.keys_sha256)
-      workspace_of_key_[key] = name;
+      workspace_by_key_[key] = name;
   }
 }
 
@@ -182,15 +188,15 @@
 }
 
 auto Catalog::FindWorkspace(uint32_t number) const -> const Workspace* {
-  const auto found = workspace_of_number_.find(number);
-  return found == workspace_of_number_.end() ? nullptr
+  const auto found = workspace_by_number_.find(number);
+  return found == workspace_by_number_.end() ? nullptr
                                              : FindWorkspace(found->second);
 }
 
 auto Catalog::WorkspaceOfKey(const std::string& key_sha256) const
     -> const Workspace* {
-  const auto found = workspace_of_key_.find(key_sha256);
-  return found == workspace_of_key_.end() ? nullptr
+  const auto found = workspace_by_key_.find(key_sha256);
+  return found == workspace_by_key_.end() ? nullptr
                                           : FindWorkspace(found->second);
 }
 
@@ -211,7 +217,7 @@
 }
 
 auto MayServeIn(const Workspace& workspace, const std::string& hall) -> bool {
-  return workspace.halls.empty() ||  // no restriction
+  return workspace.halls.empty() ||
          std::ranges::find(workspace.halls, hall) != workspace.halls.end();
 }
 
@@ -278,10 +284,11 @@
   const Json* given = reader.Object("parameters");
   reader.Finish();
   const Json empty = Json::object();
-  const Json declared = TableIn(template_content, "parameters");
+  const Json declared = TableOrEmpty(template_content, "parameters");
   const Json bound = BindParameters(declared, given == nullptr ? empty : *given,
                                     path, problems);
-  const Json body = Substitute(TableIn(template_content, "workspace"), bound);
+  const Json body =
+      Substitute(TableOrEmpty(template_content, "workspace"), bound);
   ReadBody(body, path, &workspace, problems);
   return workspace;
 }
--- a/sparbend/core/catalog.h
+++ b/sparbend/core/catalog.h
@@ -1,10 +1,13 @@
-// The declarations in force, as typed values: pools of targets and the
-// workspaces made from templates. Immutable once built; shared by pointer.
+// The active configuration as typed values: pools of targets, and workspaces
+// instantiated from templates. A Catalog is immutable and shared by pointer.
 //
-// A declaration document is a JSON object named `pool/NAME`, `template/NAME`
-// or `workspace/NAME` (operators write TOML; sparbendctl converts). A template
-// holds parameters (type, default, bounds) and a workspace body in which the
-// string "$p" stands for parameter p.
+// A configuration document is a JSON object named `pool/NAME`, `template/NAME`
+// or `workspace/NAME` (operators write TOML, which sparbendctl converts). A
+// template declares parameters (type, default, bounds) and a workspace body in
+// which the string "$p" stands for the value of parameter p.
+//
+//   const Pool* pool = catalog.FindPoolByModel("some-model");
+//   if (pool == nullptr) ...  // no pool serves this model
 #ifndef SPARBEND_CORE_CATALOG_H_
 #define SPARBEND_CORE_CATALOG_H_
 
@@ -21,29 +24,31 @@
 
 enum class PoolKind { kEngine, kService };
 
-// Targets that can stand in for each other, and how their work is charged.
+// Interchangeable targets, and how their work is charged.
 struct Pool {
   std::string name;
   PoolKind kind = PoolKind::kEngine;
   std::vector<std::string> models;  // engines: the models served here
-  std::string path_prefix;          // services: the path that leads here
+  std::string path_prefix;          // services: the path prefix routed here
   int64_t input_weight = 1;         // service tokens per prompt token
   int64_t output_weight = 1;        // service tokens per generated token
   int64_t call_cost = 1;            // service tokens per call, services only
-  bool can_resume = false;          // a broken stream can be taken up again
-  int64_t memory_tokens = 0;        // of each engine, tokens; 0: not known
-  int connections = 0;              // to each target, of all boxes; 0: any
-  int64_t tokens_per_event = 1;     // of a stream, engines only
-  // Tokens of cached prompts that engines hand to each other in a
-  // millisecond, as declared; 0: they can't.
+  bool can_resume = false;          // interrupted streams can be resumed
+  int64_t memory_tokens = 0;        // KV cache of each engine; 0: unknown
+  int connections = 0;              // limit per target over all boxes; 0: none
+  int64_t tokens_per_event = 1;     // in one event of a stream, engines only
+  // Declared rate at which engines transfer cached prompts (KV blocks) to each
+  // other; 0: they can't transfer.
   double kv_transfer_tokens_per_ms = 0;
-  // Requests a second that a target bears while it is cold; 0: none is cold.
+  // Requests per second that a cold target sustains; 0: targets have no cold
+  // phase.
   double cold_requests_per_s = 0;
 
   auto operator==(const Pool&) const -> bool = default;
 };
 
-// Names requests that must run at most once. Empty fields match everything.
+// Matches requests that must run at most once. An empty field matches any
+// value.
 struct OnceRule {
   std::string method;
   std::string path_prefix;
@@ -53,29 +58,29 @@
 };
 
 struct Workspace {
-  uint32_t number = 0;  // stable, given by the fold at first acceptance
+  uint32_t number = 0;  // stable; assigned by ConfigFold at first acceptance
   std::string name;
-  int64_t share = 1;               // weight against other workspaces
-  std::vector<std::string> halls;  // where it may be served; empty: anywhere
-  std::vector<std::string> pools;  // pools it may use
-  std::vector<OnceRule> once;      // requests that may never be repeated
-  std::vector<std::string> keys_sha256;
-  int64_t queue_requests = 0;  // bounds of its queue in one box
-  int64_t queue_bytes = 0;
-  Millis queue_time;  // longest wait in the queue
+  int64_t share = 1;                     // weight against other workspaces
+  std::vector<std::string> halls;        // halls that may serve it; empty: all
+  std::vector<std::string> pools;        // pools it may use
+  std::vector<OnceRule> once;            // requests that must run at most once
+  std::vector<std::string> keys_sha256;  // hashes of its API keys, in hex
+  int64_t queue_requests = 0;  // maximum length of its queue in one box
+  int64_t queue_bytes = 0;     // maximum size of that queue
+  Millis queue_time;           // maximum wait in the queue
 
   auto operator==(const Workspace&) const -> bool = default;
 };
 
-// What callers may send, how long they may take and what they may expect;
-// zero: the box's own settings hold.
+// Limits on clients' requests and connections, and the capacity that their
+// workspaces share. A zero limit means that the box's own setting applies.
 struct CallerLimits {
-  int64_t header_bytes = 0;
-  int64_t body_bytes = 0;
-  Millis receive_time;  // a request, first byte to last
-  Millis idle_time;     // a connection without a request
-  // Service tokens that all engines together make in a second, as declared;
-  // what workspaces have a right to is their part of it.
+  int64_t header_bytes = 0;  // maximum size of a request's header
+  int64_t body_bytes = 0;    // maximum size of a request's body
+  Millis receive_time;       // from the first to the last byte of a request
+  Millis idle_time;          // a connection without a request
+  // Declared capacity of all engines together, in service tokens per second.
+  // Workspaces are entitled to their shares of it.
   int64_t tokens_per_second = 0;
 
   auto operator==(const CallerLimits&) const -> bool = default;
@@ -95,11 +100,12 @@
 
   auto pools() const -> const Pools& { return pools_; }
   auto workspaces() const -> const Workspaces& { return workspaces_; }
-  // Empty where requests find their pool by model or path alone.
+  // Empty if requests are routed to pools by model or path alone.
   auto routes() const -> const RouteTable& { return routes_; }
   auto limits() const -> const CallerLimits& { return limits_; }
 
-  // Each is null when there is none. O(log n) or O(pools).
+  // Each returns null if nothing matches. By name, number or key: O(log n); by
+  // model or path: O(pools).
   auto FindPool(const std::string& name) const -> const Pool*;
   auto FindWorkspace(const std::string& name) const -> const Workspace*;
   auto FindWorkspace(uint32_t number) const -> const Workspace*;
@@ -112,32 +118,33 @@
   Workspaces workspaces_;
   RouteTable routes_;
   CallerLimits limits_;
-  std::map<std::string, std::string> workspace_of_key_;
-  std::map<uint32_t, std::string> workspace_of_number_;
+  std::map<std::string, std::string> workspace_by_key_;
+  std::map<uint32_t, std::string> workspace_by_number_;
 };
 
-// Whether `workspace` may be served in `hall`.
+// Returns whether `hall` is one of the halls that may serve `workspace`.
 auto MayServeIn(const Workspace& workspace, const std::string& hall) -> bool;
 
-// Reads one pool document; problems carry paths under `path`.
+// Reads one pool document. The paths of problems begin with `path`.
 auto ReadPool(const std::string& name,
               const Json& content,
               const std::string& path,
               std::vector<Problem>* problems) -> Pool;
 
-// Checks one template document on its own.
+// Checks one template document by itself, without its workspaces.
 void CheckTemplate(const Json& content,
                    const std::string& path,
                    std::vector<Problem>* problems);
 
-// Makes a workspace of its document and its template's, number unset.
+// Instantiates a workspace from its document and that of its template. Its
+// number is left unset.
 auto ReadWorkspace(const std::string& name,
                    const Json& content,
                    const Json& template_content,
                    const std::string& path,
                    std::vector<Problem>* problems) -> Workspace;
 
-// Whether `rule` covers a request.
+// Returns whether `rule` matches a request.
 auto Matches(const OnceRule& rule,
              std::string_view method,
              std::string_view path,
--- a/sparbend/core/json.cc
+++ b/sparbend/core/json.cc
@@ -1,6 +1,9 @@
-// The hint for an unknown field is the closest field that was asked for, by
-// edit distance; asking is what makes a field known, so the list of fields
-// stands nowhere twice.
+// The calls that read fields define which names are known, so no separate list
+// of names must be kept in step with them. The hint for an unknown field is the
+// known name with the smallest edit distance.
+//
+// The texts of problems are part of the replicated state (Decision::cause in
+// config_fold.h): boxes whose texts differ compute different digests.
 #include "sparbend/core/json.h"
 
 #include <algorithm>
@@ -9,26 +12,28 @@
 namespace sparbend {
 namespace {
 
-constexpr size_t kFarthestHint = 3;
+// A known name farther than this from an unknown one is not suggested.
+constexpr size_t kMaxHintDistance = 3;
 
 auto EditDistance(std::string_view a, std::string_view b) -> size_t {
-  std::vector<size_t> row(b.size() + 1);
-  std::iota(row.begin(), row.end(), 0);
+  std::vector<size_t> distances(b.size() + 1);
+  std::iota(distances.begin(), distances.end(), 0);
   for (size_t i = 1; i <= a.size(); ++i) {
-    size_t diagonal = row[0];
-    row[0] = i;
+    size_t diagonal = distances[0];
+    distances[0] = i;
     for (size_t j = 1; j <= b.size(); ++j) {
-      const size_t replaced = diagonal + (a[i - 1] != b[j - 1]);
-      diagonal = row[j];
-      row[j] = std::min({row[j] + 1, row[j - 1] + 1, replaced});
+      const size_t substituted = diagonal + (a[i - 1] != b[j - 1]);
+      diagonal = distances[j];
+      distances[j] =
+          std::min({distances[j] + 1, distances[j - 1] + 1, substituted});
     }
   }
-  return row.back();
+  return distances.back();
 }
 
-auto ClosestTo(std::string_view name, const auto& names) -> std::string {
+auto ClosestName(std::string_view name, const auto& names) -> std::string {
   std::string best;
-  size_t best_distance = kFarthestHint + 1;
+  size_t best_distance = kMaxHintDistance + 1;
   for (const std::string& candidate : names) {
     const size_t distance = EditDistance(name, candidate);
     if (distance < best_distance) {
@@ -72,7 +77,7 @@
 }
 
 auto FieldReader::Find(std::string_view name) -> const Json* {
-  known_.emplace(name);
+  known_names_.emplace(name);
   if (!object_.is_object())
     return nullptr;
   const auto found = object_.find(std::string(name));
@@ -115,16 +120,16 @@
   return fallback;
 }
 
-auto FieldReader::Number(std::string_view name, double most, double fallback)
+auto FieldReader::Number(std::string_view name, double max, double fallback)
     -> double {
   const Json* value = Find(name);
   if (value == nullptr)
     return fallback;
   const double number = value->is_number() ? value->get<double>() : -1;
-  if (number >= 0 && number <= most)
+  if (number >= 0 && number <= max)
     return number;
   Report(name, "must be a number of the allowed size",
-         "from 0 to " + std::to_string(most));
+         "from 0 to " + std::to_string(max));
   return fallback;
 }
 
@@ -180,20 +185,21 @@
   if (!object_.is_object())
     return;
   for (const auto& [name, value] : object_.items()) {
-    if (known_.contains(name))
+    if (known_names_.contains(name))
       continue;
-    const std::string closest = ClosestTo(name, known_);
-    Report(name, "is not a known field",
-           closest.empty() ? "remove it" : "did you mean " + closest + "?");
+    const std::string suggestion = ClosestName(name, known_names_);
+    Report(
+        name, "is not a known field",
+        suggestion.empty() ? "remove it" : "did you mean " + suggestion + "?");
   }
 }
 
 auto ParseJson(std::string_view text, size_t max_bytes) -> Result<Json> {
   if (text.size() > max_bytes)
-    return MakeError(Errc::kMalformed, "longer than the limit");
+    return MakeError(Errc::kMalformed, "the text exceeds the size limit");
   Json parsed = Json::parse(text, nullptr, /*allow_exceptions=*/false);
   if (parsed.is_discarded())
-    return MakeError(Errc::kMalformed, "not JSON");
+    return MakeError(Errc::kMalformed, "the text is not valid JSON");
   return parsed;
 }
 
--- a/sparbend/core/json.h
+++ b/sparbend/core/json.h
@@ -1,11 +1,12 @@
-// The JSON value used throughout, and a reader that checks an object's fields
-// against what is expected of them. Every problem is collected with the path
-// of its field, so that one pass reports all of them.
+// The JSON type used throughout, and a reader that checks the fields of an
+// object for type and range. It collects each problem with the path of its
+// field, so that one pass reports all of them.
 //
 //   std::vector<Problem> problems;
 //   FieldReader reader(object, "limits", &problems);
-//   settings.body_bytes = reader.Integer("body_bytes", {1, kMaxBody}, kBody);
-//   reader.Finish();  // reports the fields nobody asked for
+//   settings.body_bytes = reader.Integer("body_bytes", {1, kMaxBodyBytes},
+//                                        kDefaultBodyBytes);
+//   reader.Finish();  // reports fields that no call above has read
 #ifndef SPARBEND_CORE_JSON_H_
 #define SPARBEND_CORE_JSON_H_
 
@@ -24,16 +25,16 @@
 
 using Json = nlohmann::json;
 
-// One thing wrong with a document.
+// An error in a document.
 struct Problem {
   std::string path;     // dotted path of the field
   std::string message;  // what is wrong
-  std::string hint;     // what to do; may be empty
+  std::string hint;     // how to mend it; may be empty
 
   auto operator==(const Problem&) const -> bool = default;
 };
 
-// All problems in one line, for a log record or an error's detail.
+// Formats all problems in one line, for a log line or Error::detail.
 auto Describe(const std::vector<Problem>& problems) -> std::string;
 
 // Inclusive bounds of an integer field.
@@ -42,7 +43,8 @@
   int64_t max;
 };
 
-// Reads one object. A missing field yields the fallback; a wrong one yields
+// Reads the fields of one object. A missing field yields the fallback (an empty
+// value where there is none); a field of the wrong type or out of range yields
 // the fallback and a problem. `object` and `problems` must outlive the reader.
 class FieldReader {
  public:
@@ -53,21 +55,23 @@
   auto String(std::string_view name, std::string fallback) -> std::string;
   auto RequiredString(std::string_view name) -> std::string;
   auto Integer(std::string_view name, Range range, int64_t fallback) -> int64_t;
-  // Whole or with a fraction, zero or more.
-  auto Number(std::string_view name, double most, double fallback) -> double;
+  // A number from 0 to `max`, with or without a fraction.
+  auto Number(std::string_view name, double max, double fallback) -> double;
   auto Bool(std::string_view name, bool fallback) -> bool;
   auto Strings(std::string_view name) -> std::vector<std::string>;
-  // The field whatever its type, or nothing.
+  // The field, of any type, or null if absent.
   auto Any(std::string_view name) -> const Json*;
-  // The field when it is an object or an array of objects; nothing if absent.
+  // The field if it is an object, or the elements if it is an array of objects;
+  // null or empty otherwise.
   auto Object(std::string_view name) -> const Json*;
   auto Objects(std::string_view name) -> std::vector<const Json*>;
 
-  // Reports `message` about field `name`.
+  // Adds a problem with field `name`.
   void Report(std::string_view name, std::string message, std::string hint);
-  // Reports each field that no call above asked for.
+  // Reports each field that no call above has read.
   void Finish();
 
+  // The dotted path of field `name`.
   auto PathOf(std::string_view name) const -> std::string;
 
  private:
@@ -76,10 +80,11 @@
   const Json& object_;
   std::string path_;
   std::vector<Problem>* problems_;
-  std::set<std::string, std::less<>> known_;
+  std::set<std::string, std::less<>> known_names_;
 };
 
-// Parses `text`; kMalformed rather than an exception. Bounded by `max_bytes`.
+// Parses `text`. Fails with kMalformed, without an exception, if it is not JSON
+// or longer than `max_bytes`.
 auto ParseJson(std::string_view text, size_t max_bytes) -> Result<Json>;
 
 }  // namespace sparbend
--- a/sparbend/core/route_table.h
+++ b/sparbend/core/route_table.h
@@ -1,5 +1,5 @@
-// Routes by host and path, as the configuration declares them. Built once for
-// a configuration and never changed, so that a new one is swapped in whole.
+// Declared routes, looked up by host and path. A table is immutable; a new
+// configuration replaces it as a whole.
 //
 //   const RouteRule* rule = table.Find("shop.example", "/orders/17?x=1");
 #ifndef SPARBEND_CORE_ROUTE_TABLE_H_
@@ -14,10 +14,10 @@
 
 namespace sparbend {
 
-// What may be done with a request whose attempt failed.
+// Whether a request may run again after a failed attempt.
 enum class Repeat {
   kFreely,  // may run more than once
-  kOnce,    // may run at most once
+  kOnce,    // must run at most once
 };
 
 struct PoolWeight {
@@ -34,15 +34,17 @@
   std::vector<PoolWeight> pools;
   Repeat repeat = Repeat::kOnce;
   bool streaming = false;
-  bool resumable = false;  // a broken stream may go on at another target
-  bool needs_key = true;
-  int max_attempts = 1;      // targets that may run one request
-  Millis time_limit;         // longest time a request is held
-  Millis latency_objective;  // to the first byte; zero: none
+  // An interrupted stream may continue at another target.
+  bool resumable = false;
+  bool needs_key = true;     // clients must send an API key
+  int max_attempts = 1;      // targets that one request may be sent to
+  Millis time_limit;         // for the complete request; zero: none
+  Millis latency_objective;  // for the first byte; zero: none
 
   auto operator==(const RouteRule&) const -> bool = default;
 
-  // The pool for a request; `random` is any number and picks by weight.
+  // Chooses a pool with probability proportional to its weight. `random` is a
+  // random number or a hash; the same number yields the same pool.
   auto PickPool(uint64_t random) const -> const std::string&;
 };
 
@@ -51,8 +53,8 @@
   RouteTable() = default;
   explicit RouteTable(std::vector<RouteRule> rules);
 
-  // The rule of `host` whose prefix begins `path` and is the longest, or
-  // null. A query is not part of the path. O(slashes in the path * log n).
+  // Returns the rule of `host` with the longest prefix of `path`, or null if
+  // there is none. The query is ignored. O(slashes in the path * log n).
   auto Find(std::string_view host, std::string_view path) const
       -> const RouteRule*;
   auto size() const -> size_t { return rules_.size(); }
@@ -60,7 +62,7 @@
 
  private:
   std::vector<RouteRule> rules_;
-  // Host and prefix to an index in rules_.
+  // Index in rules_ by host and prefix.
   std::map<std::string, std::map<std::string, size_t, std::less<>>, std::less<>>
       by_host_;
 };
--- a/sparbend/core/route_table_test.cc
+++ b/sparbend/core/route_table_test.cc
@@ -1,4 +1,5 @@
-// Tables, and a random comparison with a scan over all rules.
+// Tests lookups from a table of cases, and random ones against a linear scan
+// over all rules.
 #include "sparbend/core/route_table.h"
 
 #include "testing/properties.h"
@@ -49,7 +50,7 @@
     STRCMP_EQUAL(row.name, NameOf(table.Find(row.host, row.path)).c_str());
 }
 
-TEST(RouteTable, AgreesWithAScanOverAllRules) {
+TEST(RouteTable, AgreesWithALinearScan) {
   testing::CheckHolds("longest prefix", [] {
     const auto segment = rc::gen::element<std::string>("a", "b", "ab");
     const auto path =
@@ -77,7 +78,7 @@
   });
 }
 
-TEST(RouteTable, PoolsArePickedByWeight) {
+TEST(RouteTable, PicksPoolsByWeight) {
   RouteRule rule = Rule("r", "h", "/");
   rule.pools = {{"none", 0}, {"few", 1}, {"many", 9}};
   int many = 0;
