--- a/sparbend/kernel/http.cc
+++ b/sparbend/kernel/http.cc
@@ -1,6 +1,8 @@
-// The client retries nothing. A kept connection that turns out closed before
-// a byte of the answer is reported as kUnknown like any other loss, except
-// that a closed one is noticed before use wherever the kernel already knows.
+// The client retries nothing. If an idle connection turns out to be closed
+// before the first byte of the response, the call fails with kUnknown, like any
+// other interrupted call. To make this rare, idle connections are checked
+// before use, and those that the operating system already knows to be closed
+// are dropped.
 #include "sparbend/kernel/http.h"
 
 #include <charconv>
@@ -10,28 +12,33 @@
 namespace sparbend {
 namespace {
 
-constexpr size_t kMaxIdle = 4;
-constexpr uint64_t kMaxBody = 64 * 1024 * 1024;
-constexpr std::chrono::seconds kServerIdle(120);
+constexpr size_t kMaxIdleConnections = 4;
+constexpr uint64_t kMaxBodyBytes = 64 * 1024 * 1024;
+// For the wait for a request, its receipt, its handling and its response, all
+// together.
+constexpr std::chrono::seconds kServerTimeout(120);
 
 }  // namespace
 
 auto ParseAddress(const std::string& text) -> Result<tcp::endpoint> {
   const size_t colon = text.rfind(':');
   if (colon == std::string::npos)
-    return MakeError(Errc::kInvalid, "no port in " + text);
+    return MakeError(Errc::kInvalid,
+                     "no port in the address, expected IP:PORT: " + text);
   std::string host = text.substr(0, colon);
   if (host.starts_with('[') && host.ends_with(']'))
     host = host.substr(1, host.size() - 2);
   boost::system::error_code error;
   const auto ip = asio::ip::make_address(host, error);
   if (error)
-    return MakeError(Errc::kInvalid, "no IP address in " + text);
+    return MakeError(Errc::kInvalid,
+                     "no literal IP address before the port: " + text);
   uint16_t port = 0;
   const char* end = text.data() + text.size();
   const auto parsed = std::from_chars(text.data() + colon + 1, end, port);
   if (parsed.ec != std::errc() || parsed.ptr != end)
-    return MakeError(Errc::kInvalid, "no port number in " + text);
+    return MakeError(Errc::kInvalid,
+                     "the port is not a number from 0 to 65535: " + text);
   return tcp::endpoint(ip, port);
 }
 
@@ -41,10 +48,10 @@
   return (v6 ? "[" + ip + "]" : ip) + ":" + std::to_string(endpoint.port());
 }
 
-auto TryConnect(tcp::endpoint address, Millis span)
+auto TryConnect(tcp::endpoint address, Millis timeout)
     -> asio::awaitable<boost::system::error_code> {
   beast::tcp_stream stream(co_await asio::this_coro::executor);
-  stream.expires_after(std::chrono::milliseconds(span.count()));
+  stream.expires_after(std::chrono::milliseconds(timeout.count()));
   const auto [error] = co_await stream.async_connect(address, kAwait);
   co_return error;
 }
@@ -60,9 +67,9 @@
 HttpClient::HttpClient(tcp::endpoint server, std::string agent)
     : server_(std::move(server)), agent_(std::move(agent)) {}
 
-auto HttpClient::Exchange(beast::tcp_stream* stream,
-                          const StringRequest& request,
-                          Millis timeout)
+auto HttpClient::RoundTrip(beast::tcp_stream* stream,
+                           const StringRequest& request,
+                           Millis timeout)
     -> asio::awaitable<Result<StringResponse>> {
   stream->expires_after(std::chrono::milliseconds(timeout.count()));
   const auto [written, sent] =
@@ -73,7 +80,7 @@
                         written.message());
   beast::flat_buffer buffer;
   http::response_parser<http::string_body> parser;
-  parser.body_limit(kMaxBody);
+  parser.body_limit(kMaxBodyBytes);
   const auto [read, received] =
       co_await http::async_read(*stream, buffer, parser, kAwait);
   bytes_ += received;
@@ -88,9 +95,9 @@
   request.set(http::field::user_agent, agent_);
   request.prepare_payload();
   std::unique_ptr<beast::tcp_stream> stream;
-  while (!idle_.empty() && !stream) {
-    stream = std::move(idle_.back());
-    idle_.pop_back();
+  while (!idle_connections_.empty() && !stream) {
+    stream = std::move(idle_connections_.back());
+    idle_connections_.pop_back();
     if (PeekSocket(stream->socket()) != SocketState::kQuiet)
       stream.reset();
   }
@@ -104,12 +111,14 @@
     stream->socket().set_option(tcp::no_delay(true));
   }
   Result<StringResponse> response =
-      co_await Exchange(stream.get(), request, timeout);
+      co_await RoundTrip(stream.get(), request, timeout);
+  // What interrupted this connection has probably interrupted the others too.
   if (!response)
-    idle_.clear();  // what broke this one broke the others, most likely
-  if (response && response->keep_alive() && idle_.size() < kMaxIdle) {
+    idle_connections_.clear();
+  if (response && response->keep_alive() &&
+      idle_connections_.size() < kMaxIdleConnections) {
     stream->expires_never();
-    idle_.push_back(std::move(stream));
+    idle_connections_.push_back(std::move(stream));
   }
   co_return response;
 }
@@ -195,8 +204,8 @@
   beast::flat_buffer buffer;
   for (bool open = true; open;) {
     http::request_parser<http::string_body> parser;
-    parser.body_limit(kMaxBody);
-    stream.expires_after(kServerIdle);
+    parser.body_limit(kMaxBodyBytes);
+    stream.expires_after(kServerTimeout);
     const auto [read, received] =
         co_await http::async_read(stream, buffer, parser, kAwait);
     if (read)
--- a/sparbend/kernel/kernel.cc
+++ b/sparbend/kernel/kernel.cc
@@ -10,18 +10,20 @@
 namespace sparbend {
 namespace {
 
-// As often as the scheduler looks at what waits.
-constexpr int64_t kTickMs = 50;
+// The interval at which the scheduler checks its waiting requests.
+constexpr int64_t kTickIntervalMs = 50;
 
 }  // namespace
 
 Kernel::Kernel()
     : io_(/*concurrency_hint=*/1),
-      phase_(static_cast<int64_t>(std::random_device()() % kTickMs)) {}
+      tick_offset_(
+          static_cast<int64_t>(std::random_device()() % kTickIntervalMs)) {}
 
 auto Kernel::TickFrom(Millis instant) const -> Millis {
-  const int64_t since = (instant - phase_).count();
-  return phase_ + Millis((since + kTickMs - 1) / kTickMs * kTickMs);
+  const int64_t elapsed_ms = (instant - tick_offset_).count();
+  return tick_offset_ + Millis((elapsed_ms + kTickIntervalMs - 1) /
+                               kTickIntervalMs * kTickIntervalMs);
 }
 
 auto Kernel::SleepToTick(Millis span) const -> asio::awaitable<void> {
@@ -40,8 +42,8 @@
 }
 
 auto Kernel::FindAny(std::string_view name) const -> std::shared_ptr<Service> {
-  for (const auto& [known, service] : services_) {
-    if (known == name)
+  for (const auto& [registered_name, service] : services_) {
+    if (registered_name == name)
       return service;
   }
   return nullptr;
@@ -62,18 +64,19 @@
   io_.run();
 }
 
-void Kernel::Spawn(std::string what, asio::awaitable<void> work) {
-  asio::co_spawn(io_, std::move(work),
-                 [what = std::move(what)](std::exception_ptr failure) {
-                   if (!failure)
-                     return;
-                   try {
-                     std::rethrow_exception(failure);
-                   } catch (const std::exception& error) {
-                     Log(LogLevel::kError, "task-failed",
-                         {{"task", what}, {"error", error.what()}});
-                   }
-                 });
+void Kernel::Spawn(std::string task_name, asio::awaitable<void> work) {
+  asio::co_spawn(
+      io_, std::move(work),
+      [task_name = std::move(task_name)](std::exception_ptr exception) {
+        if (!exception)
+          return;
+        try {
+          std::rethrow_exception(exception);
+        } catch (const std::exception& error) {
+          Log(LogLevel::kError, "task-failed",
+              {{"task", task_name}, {"error", error.what()}});
+        }
+      });
 }
 
 auto Sleep(Millis span) -> asio::awaitable<void> {
--- a/sparbend/kernel/kernel.h
+++ b/sparbend/kernel/kernel.h
@@ -1,11 +1,14 @@
-// The micro-kernel: an event loop, a clock, and services that find each other
-// by name. Start order is the order of registration; stop order is its
-// reverse. One thread runs everything, so services need no locks.
+// The core of a process: an event loop, a clock, and a registry in which
+// services find each other by name. Services start in the order of registration
+// and stop in reverse order. One thread runs everything, so services need no
+// locks.
 //
 //   Kernel kernel;
-//   kernel.Register("front", std::make_shared<Front>(&kernel, settings));
-//   kernel.Start(); kernel.io().run();
-//   ... kernel.Find<Scheduler>("scheduler")->Enqueue(...)
+//   kernel.Register("front", std::make_shared<Frontend>(...));
+//   kernel.Start();
+//   kernel.Run();
+//   // In a service:
+//   kernel->Find<Scheduler>("scheduler")->Enqueue(...);
 #ifndef SPARBEND_KERNEL_KERNEL_H_
 #define SPARBEND_KERNEL_KERNEL_H_
 
@@ -22,12 +25,14 @@
 
 namespace asio = boost::asio;
 
+// A part of the process with a lifetime that the Kernel controls.
 class Service {
  public:
   virtual ~Service() = default;
-  // Begins work; other services may be looked up from here on.
+  // Starts work. From now on other services may be looked up.
   virtual void Start() {}
-  // Ends work at once; what is owed to callers was settled before.
+  // Stops work immediately. Requests of clients must have been completed
+  // before.
   virtual void Stop() {}
 };
 
@@ -36,35 +41,39 @@
   Kernel();
 
   auto io() -> asio::io_context& { return io_; }
-  // Milliseconds of the monotonic clock.
+  // The time of the monotonic clock.
   auto Now() const -> Millis;
-  // The first tick of this process at or after `instant`. Work that looks
-  // whether there is anything to do looks at ticks: what is due at about the
-  // same time then wakes the process once. Ticks of other processes differ.
+  // Returns the first tick at or after `instant`. Ticks are instants at a fixed
+  // interval. Periodic checks run at ticks, so that checks due at about the
+  // same time wake the process only once. The offset of the ticks is random per
+  // process.
   auto TickFrom(Millis instant) const -> Millis;
-  // Suspends the calling coroutine for `span` and on to the next tick.
+  // Suspends the calling coroutine until the first tick after `span`.
   auto SleepToTick(Millis span) const -> asio::awaitable<void>;
 
   void Register(std::string name, std::shared_ptr<Service> service);
-  // The service registered as `name` if it is a T, else null.
+  // Returns the service registered as `name`, or null if there is none or it is
+  // not a T.
   template <class T>
   auto Find(std::string_view name) const -> std::shared_ptr<T> {
     return std::dynamic_pointer_cast<T>(FindAny(name));
   }
 
+  // Starts all services.
   void Start();
+  // Stops all services, then the event loop.
   void Stop();
-  // Runs the loop until it is stopped.
+  // Runs the event loop until Stop.
   void Run();
-  // Runs a coroutine on the loop; an exception that escapes it is logged
-  // under `what` and ends nothing else.
-  void Spawn(std::string what, asio::awaitable<void> work);
+  // Runs a coroutine on the event loop. A std::exception that escapes it is
+  // logged with `task_name` and does not affect other work.
+  void Spawn(std::string task_name, asio::awaitable<void> work);
 
  private:
   auto FindAny(std::string_view name) const -> std::shared_ptr<Service>;
 
   asio::io_context io_;
-  Millis phase_;  // of the ticks
+  Millis tick_offset_;
   std::vector<std::pair<std::string, std::shared_ptr<Service>>> services_;
 };
 
--- a/sparbend/kernel/log.cc
+++ b/sparbend/kernel/log.cc
@@ -1,7 +1,7 @@
-// log4cplus 2.0 has no JSON layout, so each event is built as a JSON value
-// and handed over whole. Its console appender would wait for a reader that
-// stalls, and its asynchronous one does when its queue is full; so the lines
-// go to an appender of our own that never does.
+// log4cplus 2.0 has no JSON layout, so each event is formatted as JSON here and
+// passed on as a complete message. The console appender of log4cplus blocks
+// while the reader stalls, and its asynchronous appender blocks when its queue
+// is full, so the lines go to an appender that never blocks (LogSink).
 #include "sparbend/kernel/log.h"
 
 #include <array>
@@ -24,14 +24,15 @@
 
 constexpr std::array<std::string_view, 4> kLevelNames = {"debug", "info",
                                                          "warning", "error"};
-constexpr std::array<log4cplus::LogLevel, 4> kLevels = {
+constexpr std::array<log4cplus::LogLevel, 4> kLog4cplusLevels = {
     log4cplus::DEBUG_LOG_LEVEL, log4cplus::INFO_LOG_LEVEL,
     log4cplus::WARN_LOG_LEVEL, log4cplus::ERROR_LOG_LEVEL};
 
-// Far above what a box logs in good times: a request takes two or three lines
-// of different kinds, and a small box serves some hundred a second.
-constexpr int64_t kLinesPerSecond = 300;
-constexpr int64_t kLinesBurst = 600;
+// Limits for each event, far above the normal rate: a request logs two or three
+// lines of different events, and a small box serves some hundred requests per
+// second.
+constexpr int64_t kMaxLinesPerSecond = 300;
+constexpr int64_t kMaxBurstLines = 600;
 
 auto Sink() -> LogSink& {
   static LogSink sink(STDOUT_FILENO);
@@ -39,7 +40,7 @@
 }
 
 auto Budget() -> LogBudget& {
-  static LogBudget budget(kLinesPerSecond, kLinesBurst);
+  static LogBudget budget(kMaxLinesPerSecond, kMaxBurstLines);
   return budget;
 }
 
@@ -54,7 +55,7 @@
   }
 };
 
-auto SteadyNow() -> Millis {
+auto MonotonicNow() -> Millis {
   return Millis(std::chrono::duration_cast<std::chrono::milliseconds>(
                     std::chrono::steady_clock::now().time_since_epoch())
                     .count());
@@ -73,18 +74,19 @@
 
 }  // namespace
 
-void StartLog(std::string_view box, LogLevel least) {
+void StartLog(std::string_view box, LogLevel min_level) {
   log4cplus::initialize();
   BoxName() = box;
   log4cplus::SharedAppenderPtr appender(new SinkAppender());
   log4cplus::Logger root = log4cplus::Logger::getRoot();
   root.removeAllAppenders();
   root.addAppender(appender);
-  root.setLogLevel(kLevels[static_cast<size_t>(least)]);
+  root.setLogLevel(kLog4cplusLevels[static_cast<size_t>(min_level)]);
 }
 
-void SetLogLevel(LogLevel least) {
-  log4cplus::Logger::getRoot().setLogLevel(kLevels[static_cast<size_t>(least)]);
+void SetLogLevel(LogLevel min_level) {
+  log4cplus::Logger::getRoot().setLogLevel(
+      kLog4cplusLevels[static_cast<size_t>(min_level)]);
 }
 
 void FlushLog() {
@@ -102,10 +104,11 @@
 
 void Log(LogLevel level, std::string_view event, Json fields) {
   log4cplus::Logger root = log4cplus::Logger::getRoot();
-  const log4cplus::LogLevel mapped = kLevels[static_cast<size_t>(level)];
-  if (!root.isEnabledFor(mapped))
+  const log4cplus::LogLevel log4cplus_level =
+      kLog4cplusLevels[static_cast<size_t>(level)];
+  if (!root.isEnabledFor(log4cplus_level))
     return;
-  const auto pass = Budget().Take(event, SteadyNow());
+  const auto pass = Budget().Take(event, MonotonicNow());
   if (!pass)
     return;
   if (pass->left_out > 0)
@@ -114,8 +117,10 @@
   fields["level"] = kLevelNames[static_cast<size_t>(level)];
   fields["event"] = event;
   fields["box"] = BoxName();
-  // Bytes from outside may not be UTF-8; they are replaced, not refused.
-  root.log(mapped, fields.dump(-1, ' ', false, Json::error_handler_t::replace));
+  // Fields may hold bytes from outside that are not UTF-8. They are replaced,
+  // so that dump() does not throw.
+  root.log(log4cplus_level,
+           fields.dump(-1, ' ', false, Json::error_handler_t::replace));
 }
 
 auto ParseLogLevel(std::string_view text) -> LogLevel {
--- a/sparbend/kernel/log.h
+++ b/sparbend/kernel/log.h
@@ -1,11 +1,11 @@
-// Logs as JSON lines on standard output, through log4cplus.
+// Logging of events as JSON lines to standard output, through log4cplus.
 //
 //   Log(LogLevel::kInfo, "target-left", {{"target", name}});
 //
-// Never waits for the reader of standard output, and bounds the lines a second
-// of each event (LogBudget); "left_out" in a line counts those before it that
-// did not go through. Never pass a secret. Fields "time", "level" and "event"
-// are set here.
+// Never waits for the reader of standard output. The number of lines per second
+// is limited for each event (LogBudget); the field "left_out" of a line counts
+// the lines of its event that were suppressed since the last one. Never pass a
+// secret. The fields "time", "level", "event" and "box" are set here.
 #ifndef SPARBEND_KERNEL_LOG_H_
 #define SPARBEND_KERNEL_LOG_H_
 
@@ -17,20 +17,23 @@
 
 enum class LogLevel { kDebug, kInfo, kWarning, kError };
 
-// Call once at the start of a program; `box` stands in every line.
-void StartLog(std::string_view box, LogLevel least);
-// Changes the least level that is logged.
-void SetLogLevel(LogLevel least);
-// Writes what a slow reader had no room for; to be called now and then.
+// Call once at the start of a program. `box` is a field of each line; lines
+// below `min_level` are not logged.
+void StartLog(std::string_view box, LogLevel min_level);
+void SetLogLevel(LogLevel min_level);
+// Writes buffered lines that a slow reader has not accepted so far. Must be
+// called periodically.
 void FlushLog();
-// Lines dropped because the reader was too slow.
+// The number of lines dropped because the reader was too slow.
 auto LogLinesDropped() -> int64_t;
-// Flushes and ends logging; call before the program returns.
+// Flushes and shuts down logging. Call before the program returns.
 void StopLog();
 
+// Logs `event` with `fields`, a JSON object.
 void Log(LogLevel level, std::string_view event, Json fields = Json::object());
 
-// The level named `text` ("debug", "info", "warning", "error"), else kInfo.
+// Returns the level named `text` ("debug", "info", "warning", "error"), or
+// kInfo for any other text.
 auto ParseLogLevel(std::string_view text) -> LogLevel;
 
 }  // namespace sparbend
--- a/sparbend/kernel/log_sink.h
+++ b/sparbend/kernel/log_sink.h
@@ -1,6 +1,10 @@
-// Writes log lines to a descriptor without ever waiting for its reader: lines
-// that find no room are kept within a bound, and beyond it dropped and
-// counted.
+// Writes log lines to a file descriptor without waiting for its reader. Lines
+// that can't be written are buffered; when the buffer is full, lines are
+// dropped and counted.
+//
+//   LogSink sink(STDOUT_FILENO);
+//   sink.Write(line);
+//   sink.Flush();  // call periodically, in case no further line is written
 #ifndef SPARBEND_KERNEL_LOG_SINK_H_
 #define SPARBEND_KERNEL_LOG_SINK_H_
 
@@ -14,17 +18,19 @@
  public:
   explicit LogSink(int fd) : fd_(fd) {}
 
-  // Takes a line without its end. O(size), one system call or two.
+  // Writes or buffers `line`, given without its newline. O(size); with an empty
+  // buffer, one or two system calls.
   void Write(std::string_view line);
-  // Writes what was kept, as far as the reader takes it.
+  // Writes buffered lines as far as the reader accepts them.
   void Flush();
 
-  auto dropped() const -> int64_t { return dropped_; }
+  // The number of lines dropped so far.
+  auto dropped() const -> int64_t { return dropped_lines_; }
 
  private:
   int fd_;
-  std::string kept_;
-  int64_t dropped_ = 0;
+  std::string buffer_;
+  int64_t dropped_lines_ = 0;
 };
 
 }  // namespace sparbend
--- a/sparbend/kernel/settings.cc
+++ b/sparbend/kernel/settings.cc
@@ -1,5 +1,6 @@
-// TOML becomes JSON once, so that settings and declarations are checked by
-// the same reader; lines are kept beside it by path.
+// TOML is converted to JSON first, so that settings and configuration documents
+// are checked by the same FieldReader. Line numbers are kept separately, by
+// path.
 #include "sparbend/kernel/settings.h"
 
 #include <cmath>
@@ -13,9 +14,10 @@
 namespace {
 
 constexpr Range kMillisRange = {1, 86'400'000};
-constexpr size_t kShortestSecret = 16;
-// A planned stop is over this long before its grace is.
-constexpr Millis kBeforeKill = Millis(500);
+constexpr size_t kMinSecretBytes = 16;
+// A planned stop ends this long before its grace period, so that the process is
+// not killed.
+constexpr Millis kGraceMargin = Millis(500);
 
 void CollectLines(const toml::node& node,
                   const std::string& path,
@@ -25,7 +27,8 @@
     for (const auto& [key, child] : *table) {
       const std::string name(key.str());
       CollectLines(child, path.empty() ? name : path + "." + name, lines);
-      // A key's own line is nearer than its value's for dotted tables.
+      // For dotted tables, the line of the key is closer than that of the
+      // value.
       (*lines)[path.empty() ? name : path + "." + name] =
           static_cast<int>(key.source().begin.line);
     }
@@ -35,7 +38,8 @@
 void ReadAddress(FieldReader* reader, const char* name, std::string* address) {
   *address = reader->RequiredString(name);
   if (!address->empty() && !ParseAddress(*address))
-    reader->Report(name, "is no address", "IP:PORT, such as 127.0.0.1:8080");
+    reader->Report(name, "is not an address",
+                   "IP:PORT, such as 127.0.0.1:8080");
 }
 
 void ReadSecret(FieldReader* reader,
@@ -43,7 +47,7 @@
                 bool required,
                 std::string* secret) {
   *secret = required ? reader->RequiredString(name) : reader->String(name, "");
-  if (!secret->empty() && secret->size() < kShortestSecret)
+  if (!secret->empty() && secret->size() < kMinSecretBytes)
     reader->Report(name, "is too short", "at least 16 characters");
 }
 
@@ -52,27 +56,29 @@
   return Millis(reader->Integer(name, kMillisRange, fallback));
 }
 
-// Seconds, perhaps with a fraction; zero when absent.
+// Reads a number of seconds, with or without a fraction; 0 if absent.
 auto ReadSeconds(FieldReader* reader, const char* name) -> Millis {
-  constexpr double kMostSeconds = 86'400;
+  constexpr double kMaxSeconds = 86'400;
   constexpr double kMillisPerSecond = 1'000;
   return Millis(
-      std::llround(reader->Number(name, kMostSeconds, 0) * kMillisPerSecond));
+      std::llround(reader->Number(name, kMaxSeconds, 0) * kMillisPerSecond));
 }
 
-constexpr double kMostCores = 1'000;
-constexpr double kThousandths = 1'000;  // of a core, in a core
+constexpr double kMaxCores = 1'000;
+constexpr double kMillicoresPerCore = 1'000;
 
-// Callers' connections that the process's memory bears; all, if it is zero.
+// Returns the number of client connections for which the memory of the process
+// suffices; no limit if `memory_mb` is zero.
 auto ConnectionsWithin(int64_t memory_mb) -> int64_t {
-  // The process without callers: 15 MB measured, books and buffers besides.
-  constexpr int64_t kProcessMb = 48;
-  // A request of usual size with its answer under way, unread bytes included.
-  constexpr int64_t kKbPerConnection = 80;
+  // The process without clients takes 15 MB; the rest is for tables and
+  // buffers.
+  constexpr int64_t kBaseMemoryMb = 48;
+  // A request of usual size and its answer in transit, with unread bytes.
+  constexpr int64_t kMemoryPerConnectionKb = 80;
   if (memory_mb == 0)
     return INT64_MAX;
-  return std::max<int64_t>(64,
-                           (memory_mb - kProcessMb) * 1'024 / kKbPerConnection);
+  return std::max<int64_t>(
+      64, (memory_mb - kBaseMemoryMb) * 1'024 / kMemoryPerConnectionKb);
 }
 
 void ReadLimits(FieldReader* reader, Settings* settings) {
@@ -80,8 +86,8 @@
   settings->connections = std::min(
       settings->connections,
       ConnectionsWithin(reader->Integer("memory_mb", {0, 1'000'000}, 0)));
-  settings->processor = static_cast<int>(
-      std::llround(reader->Number("processor", kMostCores, 0) * kThousandths));
+  settings->processor = static_cast<int>(std::llround(
+      reader->Number("processor", kMaxCores, 0) * kMillicoresPerCore));
   settings->header_bytes =
       reader->Integer("header_bytes", {1'024, 1 << 20}, 16'384);
   settings->body_bytes =
@@ -105,10 +111,11 @@
   settings->drain_notice = ReadMillis(reader, "drain_notice_ms", 200);
   const Millis grace = ReadSeconds(reader, "grace_s");
   if (grace > Millis(0))
-    settings->drain_time = std::max(Millis(1), grace - kBeforeKill);
+    settings->drain_time = std::max(Millis(1), grace - kGraceMargin);
 }
 
-// The store of a deployment takes the place of the own log and list.
+// Reads the address of the platform's store, or else those of the separate
+// configuration log and target list, which it replaces.
 void ReadPlatform(FieldReader* platform, Settings* settings) {
   settings->store_address = platform->String("store", "");
   if (settings->store_address.empty()) {
@@ -117,29 +124,32 @@
     return;
   }
   if (!ParseAddress(settings->store_address))
-    platform->Report("store", "is no address",
+    platform->Report("store", "is not an address",
                      "IP:PORT, such as 127.0.0.1:8080");
   if (platform->Any("log") != nullptr || platform->Any("list") != nullptr)
-    platform->Report("store", "takes the place of log and list", "");
+    platform->Report("store", "replaces log and list, which must be absent",
+                     "");
 }
 
 void ReadSeeds(FieldReader* reader, Settings* settings) {
   settings->seeds = reader->Strings("seeds");
   for (const std::string& seed : settings->seeds) {
     if (!ParseAddress(seed))
-      reader->Report("seeds", "holds something that is no address", "IP:PORT");
+      reader->Report("seeds", "holds an entry that is not an address",
+                     "IP:PORT");
   }
 }
 
 void ReadRetryLimits(FieldReader* retry, Settings* settings) {
-  constexpr double kMostRatio = 10;
-  constexpr double kMostSlack = 1'000'000;
-  settings->retry_limits.ratio = retry->Number("ratio", kMostRatio, 0);
-  settings->retry_limits.slack = retry->Number("slack", kMostSlack, 0);
+  constexpr double kMaxRatio = 10;
+  constexpr double kMaxSlack = 1'000'000;
+  settings->retry_limits.ratio = retry->Number("ratio", kMaxRatio, 0);
+  settings->retry_limits.slack = retry->Number("slack", kMaxSlack, 0);
   settings->retry_limits.window = ReadSeconds(retry, "window_s");
 }
 
-// Reads table `name` with `read`, or reports that it is missing.
+// Reads table `name` with `read`. A missing table is read as an empty one, so
+// that its required fields are reported.
 void ReadTable(FieldReader* parent,
                const char* name,
                std::vector<Problem>* problems,
@@ -164,14 +174,14 @@
     settings.peer_rpc_address = listen->String("peer_rpc", "");
     if (!settings.peer_rpc_address.empty() &&
         !ParseAddress(settings.peer_rpc_address))
-      listen->Report("peer_rpc", "is no address", "IP:PORT");
+      listen->Report("peer_rpc", "is not an address", "IP:PORT");
   });
   ReadSeeds(&reader, &settings);
   ReadTable(&reader, "platform", problems,
             [&](FieldReader* platform) { ReadPlatform(platform, &settings); });
   ReadTable(&reader, "secrets", problems, [&](FieldReader* secrets) {
     ReadSecret(secrets, "peer_key", true, &settings.peer_key);
-    // Without a token no operator can call a box.
+    // Without a token operators can't call a box.
     ReadSecret(secrets, "admin_token", settings.store_address.empty(),
                &settings.admin_token);
   });
@@ -180,7 +190,7 @@
     if (const auto parsed = ParsePolicy(policy))
       settings.policy = *parsed;
     else
-      scheduling->Report("policy", "is no policy",
+      scheduling->Report("policy", "is not a known policy",
                          "hybrid, grants, leases, independent or shared");
   });
   ReadTable(&reader, "retry", problems,
@@ -219,12 +229,13 @@
 auto FormatProblem(const std::string& path,
                    const TomlFile& file,
                    const Problem& problem) -> std::string {
-  std::string at = problem.path;
-  while (!at.empty() && !file.lines.contains(at)) {
-    const size_t dot = at.rfind('.');
-    at = dot == std::string::npos ? "" : at.substr(0, dot);
+  std::string path_with_line = problem.path;
+  while (!path_with_line.empty() && !file.lines.contains(path_with_line)) {
+    const size_t dot = path_with_line.rfind('.');
+    path_with_line =
+        dot == std::string::npos ? "" : path_with_line.substr(0, dot);
   }
-  const auto line = file.lines.find(at);
+  const auto line = file.lines.find(path_with_line);
   std::string text = path + ":";
   if (line != file.lines.end())
     text += std::to_string(std::max(1, line->second)) + ":";
--- a/sparbend/kernel/settings.h
+++ b/sparbend/kernel/settings.h
@@ -1,5 +1,8 @@
-// The daemon's settings: TOML, checked strictly. Every problem is reported
-// with file, line, field and a hint; nothing unknown is accepted.
+// The settings of the daemon, read from a TOML file. They are checked strictly:
+// unknown fields are rejected, and each problem is reported with file, line,
+// field and a hint.
+//
+//   Result<Settings> settings = LoadSettings("/etc/sparbend/settings.toml");
 #ifndef SPARBEND_KERNEL_SETTINGS_H_
 #define SPARBEND_KERNEL_SETTINGS_H_
 
@@ -14,64 +17,72 @@
 
 namespace sparbend {
 
-// A TOML file as JSON, with the line of each field by its dotted path.
+// A TOML file as JSON, and the line of each field by its dotted path.
 struct TomlFile {
   Json root;
   std::map<std::string, int> lines;
 };
 
-// kUnreachable if it can't be read; kMalformed with file and line if it does
-// not parse.
+// Reads a TOML file. Fails with kUnreachable if it can't be read, and with
+// kMalformed, file and line if it can't be parsed.
 auto ReadToml(const std::string& path) -> Result<TomlFile>;
 
-// "file:line: field: message (hint)", with the line of the field or of the
-// closest table around it.
+// Formats a problem as "file:line: field message (hint)", with the line of the
+// field or else of the innermost table around it.
 auto FormatProblem(const std::string& path,
                    const TomlFile& file,
                    const Problem& problem) -> std::string;
 
 struct Settings {
-  std::string path;  // of the file it was read from
-  std::string name;
-  std::string hall;
+  std::string path;  // of the file that the settings were read from
+  std::string name;  // of this box
+  std::string hall;  // of this box
   std::string caller_address;
   std::string admin_address;
   std::string peer_address;
-  // Where boxes call this one, if not at the admin address.
+  // Address for RPC calls of other boxes; empty: the admin address.
   std::string peer_rpc_address;
   std::vector<std::string> seeds;  // peer RPC addresses of some boxes
-  std::string log_address;         // the own interface's log
-  std::string list_address;        // and its list
-  std::string store_address;       // the platform's store, instead of both
-  std::string peer_key;            // secret
-  std::string admin_token;         // secret
+  // Either the platform's store, or a separate configuration log and target
+  // list.
+  std::string log_address;
+  std::string list_address;
+  std::string store_address;
+  std::string peer_key;     // secret
+  std::string admin_token;  // secret
   std::string log_level;
   Policy policy = Policy::kHybrid;
-  // Thousandths of a processor core that the box may use; zero: not told.
+  // Processor share of the box in thousandths of a core; 0: not specified.
   int processor = 0;
-  int64_t connections = 0;
-  int64_t header_bytes = 0;
-  int64_t body_bytes = 0;
-  Millis idle_time;     // a caller's connection without a request
-  Millis receive_time;  // a caller's request, first byte to last
-  Millis send_time;     // one write to a caller that does not read
-  Millis request_time;  // a request, from receipt to the answer's end
-  Millis connect_time;  // to a target
-  // A target serves on so long once it leaves; zero: not told.
+  int64_t connections = 0;   // maximum number of client connections
+  int64_t header_bytes = 0;  // maximum size of a request's header
+  int64_t body_bytes = 0;    // maximum size of a request's body
+  // Time limits.
+  Millis idle_time;     // a client's connection without a request
+  Millis receive_time;  // from the first to the last byte of a client's request
+  Millis send_time;     // one write to a client that does not read
+  Millis request_time;  // from receipt of a request to the end of its answer
+  Millis connect_time;  // connecting to a target
+  // How long a leaving target continues to serve; 0: not specified.
   Millis target_drain;
-  Millis silence_time;  // a target's answer without a byte
-  // Rest after which a connection to a target is not used again; the second
-  // for what may run only once, zero: it always gets a fresh one.
+  Millis silence_time;  // between two bytes of a target's answer
+  // Connections to targets that have been idle for longer are not used again.
+  // The second limit applies to requests that must run at most once; 0: these
+  // always use a new connection.
   Millis rest_time;
   Millis once_rest_time;
-  Millis drain_notice;  // a planned stop, before connections are refused
-  Millis drain_time;    // a planned stop, before it gives up
-  QueueLimits queue;
-  // The fleet's limit on repeats; a window of zero: a limit a workspace.
+  // A planned stop: the delay before new connections are refused, and the time
+  // after which it no longer waits for running requests.
+  Millis drain_notice;
+  Millis drain_time;
+  QueueLimits queue;  // of all queues of the box together
+  // The retry budget of the fleet; if its window is zero, each workspace has a
+  // budget of its own instead.
   FleetRetryBudget::Limits retry_limits;
 };
 
-// Reads and checks; the error's detail holds all problems, a line each.
+// Reads and checks the settings. The detail of an error holds all problems, one
+// per line.
 auto LoadSettings(const std::string& path) -> Result<Settings>;
 
 }  // namespace sparbend
