--- a/sparbend/core/catalog.cc
+++ b/sparbend/core/catalog.cc
@@ -165,7 +165,7 @@
 Catalog::Catalog(Pools pools,
                  Workspaces workspaces,
                  RouteTable routes,
-                 CallerLimits limits)
+                 ClientLimits limits)
     : pools_(std::move(pools)),
       workspaces_(std::move(workspaces)),
       routes_(std::move(routes)),
@@ -193,14 +193,14 @@
                                              : FindWorkspace(found->second);
 }
 
-auto Catalog::WorkspaceOfKey(const std::string& key_sha256) const
+auto Catalog::FindWorkspaceByKey(const std::string& key_sha256) const
     -> const Workspace* {
   const auto found = workspace_by_key_.find(key_sha256);
   return found == workspace_by_key_.end() ? nullptr
                                           : FindWorkspace(found->second);
 }
 
-auto Catalog::PoolOfModel(const std::string& model) const -> const Pool* {
+auto Catalog::FindPoolByModel(const std::string& model) const -> const Pool* {
   for (const auto& [name, pool] : pools_) {
     if (std::ranges::find(pool.models, model) != pool.models.end())
       return &pool;
@@ -208,7 +208,7 @@
   return nullptr;
 }
 
-auto Catalog::PoolOfPath(std::string_view path) const -> const Pool* {
+auto Catalog::FindPoolByPath(std::string_view path) const -> const Pool* {
   for (const auto& [name, pool] : pools_) {
     if (!pool.path_prefix.empty() && path.starts_with(pool.path_prefix))
       return &pool;
@@ -216,7 +216,8 @@
   return nullptr;
 }
 
-auto MayServeIn(const Workspace& workspace, const std::string& hall) -> bool {
+auto MayBeServedIn(const Workspace& workspace, const std::string& hall)
+    -> bool {
   return workspace.halls.empty() ||
          std::ranges::find(workspace.halls, hall) != workspace.halls.end();
 }
--- a/sparbend/core/catalog.h
+++ b/sparbend/core/catalog.h
@@ -74,7 +74,7 @@
 
 // Limits on clients' requests and connections, and the capacity that their
 // workspaces share. A zero limit means that the box's own setting applies.
-struct CallerLimits {
+struct ClientLimits {
   int64_t header_bytes = 0;  // maximum size of a request's header
   int64_t body_bytes = 0;    // maximum size of a request's body
   Millis receive_time;       // from the first to the last byte of a request
@@ -83,7 +83,7 @@
   // Workspaces are entitled to their shares of it.
   int64_t tokens_per_second = 0;
 
-  auto operator==(const CallerLimits&) const -> bool = default;
+  auto operator==(const ClientLimits&) const -> bool = default;
 };
 
 class Catalog {
@@ -96,34 +96,35 @@
   Catalog(Pools pools,
           Workspaces workspaces,
           RouteTable routes,
-          CallerLimits limits);
+          ClientLimits limits);
 
   auto pools() const -> const Pools& { return pools_; }
   auto workspaces() const -> const Workspaces& { return workspaces_; }
   // Empty if requests are routed to pools by model or path alone.
   auto routes() const -> const RouteTable& { return routes_; }
-  auto limits() const -> const CallerLimits& { return limits_; }
+  auto limits() const -> const ClientLimits& { return limits_; }
 
   // Each returns null if nothing matches. By name, number or key: O(log n); by
   // model or path: O(pools).
   auto FindPool(const std::string& name) const -> const Pool*;
   auto FindWorkspace(const std::string& name) const -> const Workspace*;
   auto FindWorkspace(uint32_t number) const -> const Workspace*;
-  auto WorkspaceOfKey(const std::string& key_sha256) const -> const Workspace*;
-  auto PoolOfModel(const std::string& model) const -> const Pool*;
-  auto PoolOfPath(std::string_view path) const -> const Pool*;
+  auto FindWorkspaceByKey(const std::string& key_sha256) const
+      -> const Workspace*;
+  auto FindPoolByModel(const std::string& model) const -> const Pool*;
+  auto FindPoolByPath(std::string_view path) const -> const Pool*;
 
  private:
   Pools pools_;
   Workspaces workspaces_;
   RouteTable routes_;
-  CallerLimits limits_;
+  ClientLimits limits_;
   std::map<std::string, std::string> workspace_by_key_;
   std::map<uint32_t, std::string> workspace_by_number_;
 };
 
 // Returns whether `hall` is one of the halls that may serve `workspace`.
-auto MayServeIn(const Workspace& workspace, const std::string& hall) -> bool;
+auto MayBeServedIn(const Workspace& workspace, const std::string& hall) -> bool;
 
 // Reads one pool document. The paths of problems begin with `path`.
 auto ReadPool(const std::string& name,
--- a/sparbend/core/ingress_scheduler.cc
+++ b/sparbend/core/ingress_scheduler.cc
@@ -104,7 +104,7 @@
 auto IngressScheduler::Permitted(Flow flow, const std::string& hall) const
     -> bool {
   const Workspace* workspace = catalog_->FindWorkspace(flow.workspace);
-  return workspace != nullptr && MayServeIn(*workspace, hall);
+  return workspace != nullptr && MayBeServedIn(*workspace, hall);
 }
 
 auto IngressScheduler::FindWays(Flow flow) const -> Ways {
--- a/sparbend/core/ingress_scheduler_shared.cc
+++ b/sparbend/core/ingress_scheduler_shared.cc
@@ -130,7 +130,7 @@
   return placement_.Choose(
       request,
       [workspace](const std::string& hall) {
-        return MayServeIn(*workspace, hall);
+        return MayBeServedIn(*workspace, hall);
       },
       fair_parts_.Excess(request.flow, now), now);
 }
--- a/sparbend/core/route_table.h
+++ b/sparbend/core/route_table.h
@@ -16,8 +16,8 @@
 
 // Whether a request may run again after a failed attempt.
 enum class Repeat {
-  kFreely,  // may run more than once
-  kOnce,    // must run at most once
+  kAllowed,  // may run more than once
+  kOnce,     // must run at most once
 };
 
 struct PoolWeight {
--- a/sparbend/kernel/http.cc
+++ b/sparbend/kernel/http.cc
@@ -1,8 +1,8 @@
 // The client retries nothing. If an idle connection turns out to be closed
-// before the first byte of the response, the call fails with kUnknown, like any
-// other interrupted call. To make this rare, idle connections are checked
-// before use, and those that the operating system already knows to be closed
-// are dropped.
+// before the first byte of the response, the call fails with kOutcomeUnknown,
+// like any other interrupted call. To make this rare, idle connections are
+// checked before use, and those that the operating system already knows to be
+// closed are dropped.
 #include "sparbend/kernel/http.h"
 
 #include <charconv>
@@ -76,7 +76,7 @@
       co_await http::async_write(*stream, request, kAwait);
   bytes_ += sent;
   if (written)
-    co_return MakeError(sent == 0 ? Errc::kUnreachable : Errc::kUnknown,
+    co_return MakeError(sent == 0 ? Errc::kUnreachable : Errc::kOutcomeUnknown,
                         written.message());
   beast::flat_buffer buffer;
   http::response_parser<http::string_body> parser;
@@ -85,7 +85,7 @@
       co_await http::async_read(*stream, buffer, parser, kAwait);
   bytes_ += received;
   if (read)
-    co_return MakeError(Errc::kUnknown, read.message());
+    co_return MakeError(Errc::kOutcomeUnknown, read.message());
   co_return parser.release();
 }
 
@@ -98,7 +98,7 @@
   while (!idle_connections_.empty() && !stream) {
     stream = std::move(idle_connections_.back());
     idle_connections_.pop_back();
-    if (PeekSocket(stream->socket()) != SocketState::kQuiet)
+    if (PeekSocket(stream->socket()) != SocketState::kNoData)
       stream.reset();
   }
   if (!stream) {
--- a/sparbend/kernel/kernel.cc
+++ b/sparbend/kernel/kernel.cc
@@ -20,15 +20,15 @@
       tick_offset_(
           static_cast<int64_t>(std::random_device()() % kTickIntervalMs)) {}
 
-auto Kernel::TickFrom(Millis instant) const -> Millis {
+auto Kernel::NextTick(Millis instant) const -> Millis {
   const int64_t elapsed_ms = (instant - tick_offset_).count();
   return tick_offset_ + Millis((elapsed_ms + kTickIntervalMs - 1) /
                                kTickIntervalMs * kTickIntervalMs);
 }
 
-auto Kernel::SleepToTick(Millis span) const -> asio::awaitable<void> {
+auto Kernel::SleepUntilTick(Millis span) const -> asio::awaitable<void> {
   const Millis now = Now();
-  return Sleep(TickFrom(now + span) - now);
+  return Sleep(NextTick(now + span) - now);
 }
 
 auto Kernel::Now() const -> Millis {
--- a/sparbend/kernel/kernel.h
+++ b/sparbend/kernel/kernel.h
@@ -47,9 +47,9 @@
   // interval. Periodic checks run at ticks, so that checks due at about the
   // same time wake the process only once. The offset of the ticks is random per
   // process.
-  auto TickFrom(Millis instant) const -> Millis;
+  auto NextTick(Millis instant) const -> Millis;
   // Suspends the calling coroutine until the first tick after `span`.
-  auto SleepToTick(Millis span) const -> asio::awaitable<void>;
+  auto SleepUntilTick(Millis span) const -> asio::awaitable<void>;
 
   void Register(std::string name, std::shared_ptr<Service> service);
   // Returns the service registered as `name`, or null if there is none or it is
--- a/sparbend/kernel/settings.cc
+++ b/sparbend/kernel/settings.cc
@@ -103,10 +103,10 @@
   settings->connect_time = ReadMillis(reader, "connect_ms", 1'000);
   settings->target_drain =
       Millis(reader->Integer("target_drain_ms", {0, 86'400'000}, 0));
-  settings->silence_time = ReadMillis(reader, "silence_ms", 120'000);
+  settings->response_stall_timeout = ReadMillis(reader, "silence_ms", 120'000);
   settings->drain_time = ReadMillis(reader, "drain_ms", 300'000);
-  settings->rest_time = ReadMillis(reader, "rest_ms", 60'000);
-  settings->once_rest_time =
+  settings->target_idle_time = ReadMillis(reader, "rest_ms", 60'000);
+  settings->once_target_idle_time =
       Millis(reader->Integer("once_rest_ms", {0, 86'400'000}, 0));
   settings->drain_notice = ReadMillis(reader, "drain_notice_ms", 200);
   const Millis grace = ReadSeconds(reader, "grace_s");
@@ -168,7 +168,7 @@
   settings.name = reader.RequiredString("name");
   settings.hall = reader.RequiredString("hall");
   ReadTable(&reader, "listen", problems, [&](FieldReader* listen) {
-    ReadAddress(listen, "callers", &settings.caller_address);
+    ReadAddress(listen, "callers", &settings.client_address);
     ReadAddress(listen, "admin", &settings.admin_address);
     ReadAddress(listen, "peers", &settings.peer_address);
     settings.peer_rpc_address = listen->String("peer_rpc", "");
--- a/sparbend/kernel/settings.h
+++ b/sparbend/kernel/settings.h
@@ -37,7 +37,7 @@
   std::string path;  // of the file that the settings were read from
   std::string name;  // of this box
   std::string hall;  // of this box
-  std::string caller_address;
+  std::string client_address;
   std::string admin_address;
   std::string peer_address;
   // Address for RPC calls of other boxes; empty: the admin address.
@@ -65,12 +65,12 @@
   Millis connect_time;  // connecting to a target
   // How long a leaving target continues to serve; 0: not specified.
   Millis target_drain;
-  Millis silence_time;  // between two bytes of a target's answer
+  Millis response_stall_timeout;  // between two bytes of a target's answer
   // Connections to targets that have been idle for longer are not used again.
   // The second limit applies to requests that must run at most once; 0: these
   // always use a new connection.
-  Millis rest_time;
-  Millis once_rest_time;
+  Millis target_idle_time;
+  Millis once_target_idle_time;
   // A planned stop: the delay before new connections are refused, and the time
   // after which it no longer waits for running requests.
   Millis drain_notice;
--- a/sparbend/services/connections.cc
+++ b/sparbend/services/connections.cc
@@ -38,7 +38,7 @@
     found->second.pop_back();
     --idle_count_;
     // Nothing to read and not closed: the only state a kept one may be in.
-    if (PeekSocket(connection->stream.socket()) == SocketState::kQuiet) {
+    if (PeekSocket(connection->stream.socket()) == SocketState::kNoData) {
       connection->reused = true;
       return connection;
     }
--- a/sparbend/services/declarations.cc
+++ b/sparbend/services/declarations.cc
@@ -184,7 +184,7 @@
     const bool behind = scheduler_->node().HighestOffset().first > offset_ &&
                         now - looked >= kPauseBehind;
     if (!waits && !behind && !LookDue(now)) {
-      co_await kernel_->SleepToTick(kLook);
+      co_await kernel_->SleepUntilTick(kLook);
       continue;
     }
     looked = now;
@@ -217,7 +217,7 @@
       TakeAnswer(answer, "peer");
       co_await Sleep(kPauseAfterPeer);
     }
-    co_await kernel_->SleepToTick(kLook);
+    co_await kernel_->SleepUntilTick(kLook);
   }
 }
 
--- a/sparbend/services/directory.cc
+++ b/sparbend/services/directory.cc
@@ -359,7 +359,7 @@
       if (look == PeerListCheck::kSpared && looks_.Due(now))
         looks_.MarkPolled(scheduler_->node().members().list().boxes.size(),
                           now);
-      co_await kernel_->SleepToTick(kLook);
+      co_await kernel_->SleepUntilTick(kLook);
       continue;
     }
     read_at = now;
--- a/sparbend/services/forward.cc
+++ b/sparbend/services/forward.cc
@@ -156,7 +156,8 @@
 Forward::Forward(Kernel* kernel, const Settings& settings)
     : kernel_(kernel),
       settings_(settings),
-      connections_(std::max(settings.rest_time, settings.once_rest_time)) {}
+      connections_(std::max(settings.target_idle_time,
+                            settings.once_target_idle_time)) {}
 
 void Forward::Start() {
   scheduler_ = kernel_->Find<Scheduler>("scheduler");
@@ -170,7 +171,8 @@
 auto Forward::LongestRest(const RequestContext& exchange) const -> Millis {
   if (exchange.progress.began)
     return Millis(0);
-  return exchange.once ? settings_.once_rest_time : settings_.rest_time;
+  return exchange.once ? settings_.once_target_idle_time
+                       : settings_.target_idle_time;
 }
 
 auto Forward::Connect(RequestContext* exchange, const Slot& slot)
@@ -198,7 +200,7 @@
 
 auto Forward::LongestSilence(const RequestContext& exchange) const -> Millis {
   const Millis left = exchange.deadline - kernel_->Now();
-  return std::max(Millis(1), std::min(left, settings_.silence_time));
+  return std::max(Millis(1), std::min(left, settings_.response_stall_timeout));
 }
 
 void Forward::RenewExpiry(const RequestContext& exchange,
--- a/sparbend/services/frontend.cc
+++ b/sparbend/services/frontend.cc
@@ -80,9 +80,9 @@
   accepting_ =
       std::make_unique<ClientAcceptor>(kernel_, metrics_, std::move(hooks));
   if (const std::error_code error =
-          accepting_->Listen(*ParseAddress(settings_.caller_address))) {
+          accepting_->Listen(*ParseAddress(settings_.client_address))) {
     Log(LogLevel::kError, "listen-failed",
-        {{"address", settings_.caller_address}, {"error", error.message()}});
+        {{"address", settings_.client_address}, {"error", error.message()}});
     kernel_->Stop();
     return;
   }
@@ -104,9 +104,9 @@
 }
 
 // The configuration's limits where it sets them, else the settings'.
-auto Frontend::limits() const -> CallerLimits {
-  const CallerLimits& declared = config_->catalog()->limits();
-  CallerLimits limits;
+auto Frontend::limits() const -> ClientLimits {
+  const ClientLimits& declared = config_->catalog()->limits();
+  ClientLimits limits;
   limits.header_bytes = declared.header_bytes > 0 ? declared.header_bytes
                                                   : settings_.header_bytes;
   limits.body_bytes =
@@ -264,7 +264,7 @@
     session->closed = true;
     co_return std::nullopt;
   }
-  const CallerLimits bounds = limits();
+  const ClientLimits bounds = limits();
   parser->header_limit(static_cast<uint32_t>(bounds.header_bytes));
   parser->body_limit(static_cast<uint64_t>(bounds.body_bytes));
   session->stream.expires_after(
--- a/sparbend/services/frontend.h
+++ b/sparbend/services/frontend.h
@@ -72,7 +72,7 @@
               const RequestContext& exchange,
               const Refusal& refusal) -> asio::awaitable<bool>;
   auto WaitForRequest(Session* session) -> asio::awaitable<bool>;
-  auto limits() const -> CallerLimits;
+  auto limits() const -> ClientLimits;
 
   Kernel* kernel_;
   Settings settings_;
--- a/sparbend/services/keyed_log.h
+++ b/sparbend/services/keyed_log.h
@@ -37,7 +37,7 @@
   std::function<asio::awaitable<Result<KeyedPage>>()> newest;
   std::function<asio::awaitable<Result<KeyedPage>>(int64_t from, Millis wait)>
       read;
-  // The offset written to; kUnknown when it may have been written.
+  // The offset written to; kOutcomeUnknown when it may have been written.
   std::function<asio::awaitable<Result<int64_t>>(std::string key,
                                                  std::string value)>
       write;
--- a/sparbend/services/own_protocol.cc
+++ b/sparbend/services/own_protocol.cc
@@ -29,7 +29,7 @@
   const std::string_view authorization = head[http::field::authorization];
   if (!authorization.starts_with(kBearer))
     return NotRun(401, "no API key: send Authorization: Bearer KEY");
-  exchange->workspace = exchange->catalog->WorkspaceOfKey(
+  exchange->workspace = exchange->catalog->FindWorkspaceByKey(
       Sha256Hex(authorization.substr(kBearer.size())));
   if (exchange->workspace == nullptr)
     return NotRun(401, "the API key is not known");
--- a/sparbend/services/scheduler.cc
+++ b/sparbend/services/scheduler.cc
@@ -137,7 +137,7 @@
 
 // At a tick, unless something is due before that.
 auto Scheduler::WakeAfter(Millis now) const -> Millis {
-  return std::min(node_.NextWake(now), kernel_->TickFrom(now + Millis(1)));
+  return std::min(node_.NextWake(now), kernel_->NextTick(now + Millis(1)));
 }
 
 auto Scheduler::Tick() -> asio::awaitable<void> {
