--- a/sparbend/core/ingress_scheduler_shared.cc
+++ b/sparbend/core/ingress_scheduler_shared.cc
@@ -138,7 +138,7 @@
   return placement_.Choose(
       request,
       [workspace](const std::string& hall) {
-        return MayServeIn(*workspace, hall);
+        return MayBeServedIn(*workspace, hall);
       },
       fair_shares_.RatioToFairShare(request.flow, now), now);
 }
--- a/sparbend/services/declarations.cc
+++ b/sparbend/services/declarations.cc
@@ -185,7 +185,7 @@
         scheduler_->node().HighestConfigOffset().first > offset_ &&
         now - looked >= kPauseBehind;
     if (!waits && !behind && !LookDue(now)) {
-      co_await kernel_->SleepToTick(kLook);
+      co_await kernel_->SleepUntilTick(kLook);
       continue;
     }
     looked = now;
@@ -218,7 +218,7 @@
       TakeAnswer(answer, "peer");
       co_await Sleep(kPauseAfterPeer);
     }
-    co_await kernel_->SleepToTick(kLook);
+    co_await kernel_->SleepUntilTick(kLook);
   }
 }
 
