--- a/sparbend/core/evacuated_halls_test.cc
+++ b/sparbend/core/evacuated_halls_test.cc
@@ -34,8 +34,7 @@
 
   auto node() -> Node& { return node_; }
 
-  // Queues `count` requests and runs the node; how many requests it sends to
-  // each hall.
+  // Queues `count` requests and runs the node as Run does.
   auto Enqueue(int count) -> std::map<std::string, int> {
     std::map<std::string, int> halls;
     for (int i = 0; i < count; ++i) {
@@ -49,7 +48,8 @@
     return Run();
   }
 
-  // Runs the node 100 ms later; how many requests it sends to each hall.
+  // Advances the time by 100 ms and runs the node. Returns the number of
+  // requests that it sends to targets, by hall.
   auto Run() -> std::map<std::string, int> {
     now_ = now_ + Millis(100);
     std::map<std::string, int> halls;
--- a/sparbend/core/list_reading.h
+++ b/sparbend/core/list_reading.h
@@ -2,8 +2,9 @@
 // now. Usually one box of each hall reads it, and the others copy a fresh list
 // from a peer; they read the store themselves when that fails.
 //
-//   if (ShouldReadStore({known, has_role, lost, peer_check, now - read_at,
-//   poll_due}))
+//   ListReading state;
+//   state.since_read = now - read_at;  // and the other fields
+//   if (ShouldReadStore(state))
 //     ...  // read the store
 #ifndef SPARBEND_CORE_LIST_READING_H_
 #define SPARBEND_CORE_LIST_READING_H_
@@ -19,6 +20,7 @@
   kFailed,    // a peer has a newer list, and this box did not get it
 };
 
+// What the decision depends on.
 struct ListReading {
   bool has_list = false;        // this box has some list, however old
   bool is_hall_reader = false;  // this box reads the store for its hall
@@ -29,7 +31,6 @@
   bool poll_due = false;  // the box's PollTimer is due
 };
 
-// Whether to read the store now.
 auto ShouldReadStore(const ListReading& state) -> bool;
 
 }  // namespace sparbend
--- a/sparbend/core/store_availability.h
+++ b/sparbend/core/store_availability.h
@@ -44,8 +44,8 @@
   // have expired in an outage of the store although its owner is alive. Live
   // owners write their records again within a short time after the outage.
   auto RecordsMayHaveExpired(Millis read_at) const -> bool;
-  // Whether the store has been available, after both `read_at` and the end of
-  // its last outage, for longer than the usual time between two reads. Then a
+  // Whether the store has answered for longer than the usual time between two
+  // reads since the later of `read_at` and the end of its last outage. If so, a
   // box with a list read at `read_at` has had the time to read a newer one.
   auto AnsweredSince(Millis read_at) const -> bool;
 
--- a/sparbend/core/target_table.cc
+++ b/sparbend/core/target_table.cc
@@ -8,6 +8,10 @@
 //   offset or its heartbeat is lower than the known one.
 // - Start times precede both, since the heartbeat count starts again with each
 //   incarnation. A record of an earlier incarnation is always stale.
+//
+// After a removal, a record must be newer in both ways: a higher offset than
+// the removal's and, if the target counts heartbeats or was restarted, a later
+// start time or a higher heartbeat.
 #include "sparbend/core/target_table.h"
 
 #include <algorithm>
--- a/sparbend/core/target_table.h
+++ b/sparbend/core/target_table.h
@@ -3,9 +3,10 @@
 // store although their targets are alive. Such a target is kept until it has
 // had the time to write its record again.
 //
-//   table.Put(entry, offset, now); table.Drop(key, offset,
-//   Removal::kConfirmed); if (table.RemoveExpiredTargets() || changed)
-//   Use(table.entries(now));
+//   table.Put(entry, offset, now);
+//   table.Drop(name, offset, Removal::kConfirmed);
+//   if (table.RemoveExpiredTargets() || changed)
+//     Use(table.entries(now));
 //
 // An offset is the position of a record, or of its removal, in the log of
 // target records. Does no I/O.
@@ -24,9 +25,10 @@
 
 // What a missing record means for its target.
 enum class Removal {
-  kConfirmed,    // the target is gone
-  kUnconfirmed,  // the record may have expired in an outage; see
-                 // StoreAvailability
+  kConfirmed,  // the target is gone
+  // The record may have expired in an outage of the store; see
+  // StoreAvailability.
+  kUnconfirmed,
 };
 
 class TargetTable {
@@ -63,8 +65,8 @@
   struct Known {
     TargetEntry entry;
     int64_t offset = 0;  // of the record in the log
-    bool record_expired =
-        false;          // the record is gone; may have expired in an outage
+    // The record is gone, but may have expired in an outage.
+    bool record_expired = false;
     Millis cold_until;  // by this box's clock
   };
 
