--- a/sparbend/services/catalog_source.h
+++ b/sparbend/services/catalog_source.h
@@ -1,6 +1,7 @@
-// Where the configuration in force comes from. The service named "config" is
-// one of these: the fold of the declarations log, or a follower of whole
-// configurations.
+// Interface of the service named "config", the source of the active
+// configuration. It has two implementations: ConfigService, which replays a log
+// of configuration changes, and Declarations, which follows full configurations
+// in the platform's store.
 #ifndef SPARBEND_SERVICES_CATALOG_SOURCE_H_
 #define SPARBEND_SERVICES_CATALOG_SOURCE_H_
 
@@ -14,12 +15,15 @@
 
 class CatalogSource : public Service {
  public:
-  // Whether callers may be served: a configuration and a list are at hand.
+  // Whether clients may be served: a configuration and a list of targets have
+  // been read.
   virtual auto ready() const -> bool = 0;
+  // What is missing, in words for clients and operators; meaningful only while
+  // ready() is false.
   virtual auto why_not_ready() const -> std::string = 0;
   // Never null; empty before the first configuration.
   virtual auto catalog() const -> std::shared_ptr<const Catalog> = 0;
-  // Rises with each configuration taken; for logs and peers.
+  // Grows with each configuration that is applied; for logs and peers.
   virtual auto version() const -> int64_t = 0;
 };
 
--- a/sparbend/services/keyed_log.h
+++ b/sparbend/services/keyed_log.h
@@ -1,6 +1,7 @@
-// What the platform keeps and tells, as typed values: keyed records in the
-// order in which they were written. The folder platform/ fills these hooks;
-// the services "declarations" and "directory" follow them.
+// Interfaces to logs of keyed records that the platform's store keeps: records
+// in the order in which they were written, and the decoders of their values.
+// The folder platform/ implements these functions; the services in
+// declarations.h and directory.h read the logs.
 #ifndef SPARBEND_SERVICES_KEYED_LOG_H_
 #define SPARBEND_SERVICES_KEYED_LOG_H_
 
@@ -19,7 +20,7 @@
 
 struct KeyedRecord {
   std::string key;
-  std::optional<std::string> value;  // nothing: the key was dropped
+  std::optional<std::string> value;  // nothing: the key was deleted
   int64_t offset = 0;
 
   auto operator==(const KeyedRecord&) const -> bool = default;
@@ -27,17 +28,22 @@
 
 struct KeyedPage {
   std::vector<KeyedRecord> records;
-  int64_t next = 0;    // offset to read on from
-  bool whole = false;  // the newest record of every key, not a continuation
+  int64_t next = 0;    // offset at which the next read starts
+  bool whole = false;  // has the newest record of every key; otherwise only
+                       // the records since the last read
 };
 
-// A log of keyed records. Errors as HttpClient tells them, and kTrimmed when
-// the offset asked for is no longer kept.
+// A log of keyed records. Errors are those of HttpClient, and kTrimmed if the
+// log no longer keeps the requested offset.
 struct KeyedLog {
+  // Reads the newest record of every key.
   std::function<asio::awaitable<Result<KeyedPage>>()> newest;
+  // Reads the records from offset `from` on; if there is none yet, waits up to
+  // `wait` for the first.
   std::function<asio::awaitable<Result<KeyedPage>>(int64_t from, Millis wait)>
       read;
-  // The offset written to; kUnknown when it may have been written.
+  // Writes the value of a key and returns the record's offset. kUnknown if the
+  // record may have been written.
   std::function<asio::awaitable<Result<int64_t>>(std::string key,
                                                  std::string value)>
       write;
@@ -48,19 +54,20 @@
   std::shared_ptr<const Catalog> catalog;
 };
 
-// The service "declarations-feed": whole configurations under one key, and
-// besides a record for each hall that is to be empty, while it is.
+// The service "declarations-feed": full configurations under one key, and one
+// record for each hall that is evacuated, for as long as it is.
 struct DeclarationSource : public Service {
   KeyedLog log;
-  std::string key;
+  std::string key;  // of the configurations
   std::function<Result<DeclaredCatalog>(const std::string& value)> decode;
-  // The hall that a record under that key is about; nothing for others.
+  // The evacuated hall that a record under `key` is about; nothing if the
+  // record is not about one.
   std::function<std::optional<std::string>(std::string_view key)>
       evacuated_hall;
 };
 
-// The service "directory-feed": targets as they tell of themselves, and the
-// boxes' own records.
+// The service "directory-feed": the records that targets write about
+// themselves, and those of the boxes.
 struct DirectorySource : public Service {
   KeyedLog targets;
   std::function<Result<TargetEntry>(const std::string& key,
@@ -69,18 +76,22 @@
   KeyedLog boxes;
 };
 
-// Reads a log on: all of it at first and whenever its place was lost, else
-// what came since.
+// Reads a keyed log step by step: the newest record of every key in the first
+// step and after the log has trimmed the reader's position, otherwise the
+// records written since the last step.
 class KeyedLogReader {
  public:
   explicit KeyedLogReader(KeyedLog log) : log_(std::move(log)) {}
 
+  // Reads the next page; waits up to `wait` for a record. A failed step may be
+  // repeated.
   auto Step(Millis wait) -> asio::awaitable<Result<KeyedPage>>;
 
  private:
-  auto List() -> asio::awaitable<Result<KeyedPage>>;
+  auto ReadNewest() -> asio::awaitable<Result<KeyedPage>>;
 
   KeyedLog log_;
+  // Offset to read next; nothing before the first page.
   std::optional<int64_t> next_;
 };
 
--- a/sparbend/services/peers.cc
+++ b/sparbend/services/peers.cc
@@ -8,13 +8,13 @@
 namespace sparbend {
 namespace {
 
-constexpr size_t kProofBytes = 16;
-constexpr size_t kMaxAnswerBytes = 64 * 1024 * 1024;
+constexpr size_t kHmacBytes = 16;
+constexpr size_t kMaxResponseBytes = 64 * 1024 * 1024;
 
 }  // namespace
 
 auto PeerProof(const std::string& key, const std::string& body) -> std::string {
-  return Sha256Hex(HmacTag(key, body, kProofBytes));
+  return Sha256Hex(HmacTag(key, body, kHmacBytes));
 }
 
 Peers::Peers(Kernel* kernel, const Settings& settings)
@@ -62,12 +62,13 @@
       co_await PostAt(address, "/rpc", body, timeout);
   if (!response)
     co_return response.error();
-  const Result<Json> answer = ParseJson(response->body(), kMaxAnswerBytes);
-  if (!answer)
-    co_return answer.error();
-  if (!answer->is_object() || !answer->contains("result"))
-    co_return MakeError(Errc::kRefused, "no result");
-  co_return answer->at("result");
+  const Result<Json> parsed = ParseJson(response->body(), kMaxResponseBytes);
+  if (!parsed)
+    co_return parsed.error();
+  if (!parsed->is_object() || !parsed->contains("result"))
+    co_return MakeError(Errc::kRefused,
+                        "the JSON-RPC response has no field \"result\"");
+  co_return parsed->at("result");
 }
 
 auto Peers::Call(BoxId box,
@@ -90,14 +91,15 @@
 }
 
 auto Peers::Listed() const -> std::vector<BoxId> {
-  std::vector<BoxId> near;
-  std::vector<BoxId> far;
+  std::vector<BoxId> same_hall;
+  std::vector<BoxId> other_halls;
   for (const BoxEntry& box : scheduler_->node().members().list().boxes) {
     if (box.name != name_)
-      (box.hall == hall_ ? near : far).push_back(BoxIdOf(box.name));
+      (box.hall == hall_ ? same_hall : other_halls)
+          .push_back(BoxIdOf(box.name));
   }
-  near.insert(near.end(), far.begin(), far.end());
-  return near;
+  same_hall.insert(same_hall.end(), other_halls.begin(), other_halls.end());
+  return same_hall;
 }
 
 auto Peers::bytes() const -> uint64_t {
--- a/sparbend/services/peers.h
+++ b/sparbend/services/peers.h
@@ -1,5 +1,5 @@
-// The service "peers": JSON-RPC calls from box to box, for what is too large
-// for a datagram: log records, snapshots, the books of service.
+// The service "peers": JSON-RPC calls from box to box, for data that is too
+// large for a datagram, such as log records, snapshots and service counters.
 #ifndef SPARBEND_SERVICES_PEERS_H_
 #define SPARBEND_SERVICES_PEERS_H_
 
@@ -15,40 +15,48 @@
 
 namespace sparbend {
 
-// The field that carries the proof that a call comes from a box.
+// HTTP field with the proof that a request comes from a box.
 inline constexpr std::string_view kPeerProofField = "Sparbend-Peer";
+// The proof for a request with `body`: a hash of its HMAC under `key`, which
+// all boxes share.
 auto PeerProof(const std::string& key, const std::string& body) -> std::string;
 
-// A call between boxes; bulk may be handed over in it.
-inline constexpr Millis kPeerCallTime = Millis(2'000);
+// Time limit of a call between boxes, which may transfer much data.
+inline constexpr Millis kPeerCallTimeout = Millis(2'000);
 
 class Peers : public Service {
  public:
   Peers(Kernel* kernel, const Settings& settings);
   void Start() override;
 
-  // Calls `method` at `box`; the result, or why there is none.
+  // Calls `method` at `box` and returns its result. kUnreachable if the box is
+  // not listed, kRefused if the response has no result; other errors are those
+  // of HttpClient and ParseJson.
   auto Call(BoxId box,
             const std::string& method,
             const Json& params,
-            Millis timeout = kPeerCallTime) -> asio::awaitable<Result<Json>>;
+            Millis timeout = kPeerCallTimeout) -> asio::awaitable<Result<Json>>;
 
-  // The same at a peer RPC address, for a box that is not listed yet.
+  // Like Call(), at a peer RPC address, for a box that is not listed yet.
   auto CallAt(const std::string& address,
               const std::string& method,
               const Json& params,
-              Millis timeout = kPeerCallTime) -> asio::awaitable<Result<Json>>;
+              Millis timeout = kPeerCallTimeout)
+      -> asio::awaitable<Result<Json>>;
 
   // Posts `body` with the peer proof to an admin path of `box`.
   auto Post(BoxId box, std::string path, std::string body, Millis timeout)
       -> asio::awaitable<Result<StringResponse>>;
 
-  // Boxes the platform lists, this hall's first, without this box.
+  // The boxes that the platform lists, without this box; those of this hall
+  // come first.
   auto Listed() const -> std::vector<BoxId>;
 
-  // Listed boxes that live by what was heard, without this box.
+  // Those of Listed() from which a datagram has arrived recently
+  // (Members::IsLive).
   auto Live() const -> std::vector<BoxId>;
 
+  // Bytes sent and received by calls of this box so far.
   auto bytes() const -> uint64_t;
 
  private:
@@ -62,7 +70,7 @@
   std::string hall_;
   std::string key_;
   std::shared_ptr<Scheduler> scheduler_;
-  std::map<std::string, std::unique_ptr<HttpClient>> clients_;
+  std::map<std::string, std::unique_ptr<HttpClient>> clients_;  // by address
 };
 
 }  // namespace sparbend
