--- a/sparbend/services/admin.cc
+++ b/sparbend/services/admin.cc
@@ -14,17 +14,20 @@
   return response;
 }
 
-// The named string parameter of an RPC, or empty.
-auto Parameter(const std::string& params, const char* name) -> std::string {
+// The string parameter `name` of an RPC; empty if it is missing or no string.
+auto StringParameter(const std::string& params, const char* name)
+    -> std::string {
   const Result<Json> parsed = ParseJson(params, kMaxRecordBytes);
   const bool given = parsed && parsed->is_object() && parsed->contains(name) &&
                      parsed->at(name).is_string();
   return given ? parsed->at(name).get<std::string>() : "";
 }
 
-auto NumberParameter(const std::string& params,
-                     const char* name,
-                     int64_t fallback) -> int64_t {
+// The integer parameter `name` of an RPC; `fallback` if it is missing or no
+// integer.
+auto IntegerParameter(const std::string& params,
+                      const char* name,
+                      int64_t fallback) -> int64_t {
   const Result<Json> parsed = ParseJson(params, kMaxRecordBytes);
   const bool given = parsed && parsed->is_object() && parsed->contains(name) &&
                      parsed->at(name).is_number_integer();
@@ -56,14 +59,14 @@
 
 void Admin::Start() {
   config_ = kernel_->Find<CatalogSource>("config");
-  fold_ = kernel_->Find<ConfigService>("config");
+  config_log_ = kernel_->Find<ConfigService>("config");
   scheduler_ = kernel_->Find<Scheduler>("scheduler");
   runner_ = kernel_->Find<Runner>("runner");
   claims_ = kernel_->Find<Claims>("claims");
   metrics_ = kernel_->Find<Metrics>("metrics");
   AddOperatorMethods();
-  if (fold_)
-    AddFoldMethods();
+  if (config_log_)
+    AddConfigLogMethods();
   Listen(&server_, settings_.admin_address);
   if (!settings_.peer_rpc_address.empty())
     Listen(&peer_server_, settings_.peer_rpc_address);
@@ -87,10 +90,10 @@
   operator_rpc_.Add("status",
                     [this](const std::string&) { return Status().dump(); });
   operator_rpc_.Add("explain", [this](const std::string& params) {
-    return Explain(Parameter(params, "workspace")).dump();
+    return Explain(StringParameter(params, "workspace")).dump();
   });
   operator_rpc_.Add("lift", [this](const std::string& params) {
-    return Lift(Parameter(params, "workspace")).dump();
+    return ReleaseQuarantined(StringParameter(params, "workspace")).dump();
   });
   operator_rpc_.Add("drain", [this](const std::string&) {
     drain_();
@@ -98,33 +101,33 @@
   });
 }
 
-// What only the fold of the own log can tell.
-void Admin::AddFoldMethods() {
+// Methods whose answers come from the replayed configuration log.
+void Admin::AddConfigLogMethods() {
   operator_rpc_.Add("history", [this](const std::string& params) {
-    return History(NumberParameter(params, "most", 50)).dump();
+    return History(IntegerParameter(params, "most", 50)).dump();
   });
   operator_rpc_.Add("get", [this](const std::string& params) {
-    return Documents(Parameter(params, "document")).dump();
+    return Documents(StringParameter(params, "document")).dump();
   });
   peer_rpc_.Add("records", [this](const std::string& params) {
-    return fold_->RecordsFrom(NumberParameter(params, "from", 1)).dump();
+    return config_log_->RecordsFrom(IntegerParameter(params, "from", 1)).dump();
   });
   peer_rpc_.Add("snapshot", [this](const std::string&) {
-    if (!fold_->ready())
+    if (!config_log_->ready())
       return Json::object().dump();
-    return EncodeSnapshotRecord(fold_->fold());
+    return EncodeSnapshotRecord(config_log_->fold());
   });
   peer_rpc_.Add("ledger", [this](const std::string&) {
     return scheduler_->node().ledger().Export().dump();
   });
 }
 
-auto Admin::WhyNotReady() const -> std::string {
+auto Admin::NotReadyReason() const -> std::string {
   if (draining_)
     return "draining";
   if (!config_->ready())
     return config_->why_not_ready();
-  return scheduler_->overload().busy() ? "this box is behind its work" : "";
+  return scheduler_->overload().busy() ? "this box is overloaded" : "";
 }
 
 auto Admin::Handle(StringRequest request) -> asio::awaitable<StringResponse> {
@@ -132,7 +135,7 @@
   if (path == "/healthz")
     co_return TextResponse(http::status::ok, "ok\n");
   if (path == "/readyz") {
-    const std::string why_not = WhyNotReady();
+    const std::string why_not = NotReadyReason();
     co_return TextResponse(
         why_not.empty() ? http::status::ok : http::status::service_unavailable,
         why_not.empty() ? "ready\n" : why_not + "\n");
@@ -143,38 +146,44 @@
     co_return HandleRpc(request);
   if (path == "/claim" && request.method() == http::verb::post)
     co_return co_await HandleClaim(request);
-  co_return TextResponse(http::status::not_found, "no such path\n");
+  co_return TextResponse(http::status::not_found, "unknown path or method\n");
 }
 
-auto Admin::FromPeer(const StringRequest& request) const -> bool {
+auto Admin::HasPeerProof(const StringRequest& request) const -> bool {
   return ConstantTimeEqual(request[std::string(kPeerProofField)],
                            PeerProof(settings_.peer_key, request.body()));
 }
 
 auto Admin::HandleClaim(const StringRequest& request)
     -> asio::awaitable<StringResponse> {
-  if (!FromPeer(request))
-    co_return TextResponse(http::status::unauthorized, "no valid proof\n");
+  if (!HasPeerProof(request))
+    co_return TextResponse(http::status::unauthorized,
+                           "the peer proof is missing or wrong\n");
   if (!claims_)
-    co_return TextResponse(http::status::not_found, "no claims here\n");
+    co_return TextResponse(http::status::not_found,
+                           "this box does not decide claims\n");
   const Result<ClaimRecord> record = DecodeClaim(request.body());
   if (!record)
-    co_return TextResponse(http::status::bad_request, "not a claim\n");
+    co_return TextResponse(http::status::bad_request,
+                           "the body is not a claim record\n");
   const ClaimAnswer answer = co_await claims_->DecideHere(*record);
   co_return JsonResponse(http::status::ok, ToJson(answer));
 }
 
 auto Admin::HandleRpc(const StringRequest& request) -> StringResponse {
   RpcServer* server = nullptr;
-  const std::string expected = "Bearer " + settings_.admin_token;
-  const bool operators = !settings_.admin_token.empty();
-  if (FromPeer(request))
+  const std::string expected_authorization = "Bearer " + settings_.admin_token;
+  const bool has_operators = !settings_.admin_token.empty();
+  if (HasPeerProof(request))
     server = &peer_rpc_;
-  else if (operators &&
-           ConstantTimeEqual(request[http::field::authorization], expected))
+  else if (has_operators &&
+           ConstantTimeEqual(request[http::field::authorization],
+                             expected_authorization))
     server = &operator_rpc_;
   if (server == nullptr)
-    return TextResponse(http::status::unauthorized, "no valid token\n");
+    return TextResponse(
+        http::status::unauthorized,
+        "the admin token or the peer proof is missing or wrong\n");
   StringResponse response(http::status::ok, 11);
   response.set(http::field::content_type, "application/json");
   response.body() = server->Handle(request.body());
@@ -224,10 +233,10 @@
               {"hall", settings_.hall},
               {"version", SPARBEND_VERSION},
               {"policy", ToString(settings_.policy)},
-              {"ready", WhyNotReady().empty()},
+              {"ready", NotReadyReason().empty()},
               {"draining", draining_},
               {"offset", config_->version()},
-              {"digest", fold_ ? fold_->fold().Digest() : ""},
+              {"digest", config_log_ ? config_log_->fold().Digest() : ""},
               {"queued", node.ingress_scheduler().queues().total()},
               {"in_flight", node.ingress_scheduler().in_flight()},
               {"boxes", boxes},
@@ -252,7 +261,7 @@
   return requests;
 }
 
-auto Admin::Lift(const std::string& name) -> Json {
+auto Admin::ReleaseQuarantined(const std::string& name) -> Json {
   const Workspace* workspace = config_->catalog()->FindWorkspace(name);
   if (workspace == nullptr)
     return Json{{"known", false}, {"lifted", 0}};
@@ -269,19 +278,20 @@
   for (const std::string& pool : workspace->pools) {
     const Flow flow = {PoolIdOf(pool), workspace->number};
     const auto refusal = node.ingress_scheduler().WhyUnservable(flow);
-    const QueuedRequest* front = node.ingress_scheduler().queues().Front(flow);
-    std::string why = "nothing waits here";
+    const QueuedRequest* first = node.ingress_scheduler().queues().Front(flow);
+    std::string why =
+        "no request of this workspace waits for this pool on this box";
     if (refusal)
       why = refusal->reason;
-    else if (front != nullptr)
+    else if (first != nullptr)
       why =
           "all slots in the permitted halls are in use; the workspace with "
-          "the least service per share is next";
+          "the least normalised service is served next";
     pools.push_back(
         {{"pool", pool},
          {"queued_here", node.ingress_scheduler().queues().Count(flow)},
          {"waiting_ms",
-          front == nullptr ? 0 : (kernel_->Now() - front->arrived).count()},
+          first == nullptr ? 0 : (kernel_->Now() - first->arrived).count()},
          {"service_per_share", node.ledger().Service(flow) / kServiceUnit},
          {"lift", node.ledger().MinServiceOf(flow) / kServiceUnit},
          {"why", why}});
@@ -293,11 +303,11 @@
               {"pools", pools}};
 }
 
-auto Admin::History(int64_t most) const -> Json {
+auto Admin::History(int64_t max_decisions) const -> Json {
   Json decisions = Json::array();
-  const auto& all = fold_->fold().decisions();
-  const size_t count =
-      std::min(all.size(), static_cast<size_t>(std::max<int64_t>(0, most)));
+  const auto& all = config_log_->fold().decisions();
+  const size_t count = std::min(
+      all.size(), static_cast<size_t>(std::max<int64_t>(0, max_decisions)));
   for (size_t i = all.size() - count; i < all.size(); ++i)
     decisions.push_back(ToJson(all[i]));
   return Json{{"decisions", decisions}};
@@ -305,12 +315,12 @@
 
 auto Admin::Documents(const std::string& name) const -> Json {
   Json documents = Json::object();
-  for (const auto& [document, state] : fold_->fold().documents()) {
+  for (const auto& [document, state] : config_log_->fold().documents()) {
     if (name.empty() || name == document)
       documents[document] = {{"revision", state.revision},
                              {"content", state.content}};
   }
-  return Json{{"offset", fold_->version()}, {"documents", documents}};
+  return Json{{"offset", config_log_->version()}, {"documents", documents}};
 }
 
 }  // namespace sparbend
--- a/sparbend/services/admin.h
+++ b/sparbend/services/admin.h
@@ -1,14 +1,16 @@
-// The service "admin": health and readiness for the balancer, metrics, and
-// JSON-RPC for operators and for the other boxes.
+// The service "admin": health and readiness for load balancers, metrics, and
+// JSON-RPC for operators and for other boxes.
 //
 //   GET /healthz   200 while the process runs
-//   GET /readyz    200 while callers may be sent here
-//   GET /metrics   Prometheus text
-//   POST /rpc      JSON-RPC 2.0: operators with the admin token (status, get,
-//                  history, explain, drain), boxes with the peer proof
-//                  (records, snapshot, ledger)
-//   POST /claim    boxes: a claim to decide; plain HTTP, since the JSON-RPC
-//                  library's handler cannot wait
+//   GET /readyz    200 while clients may be sent to this box, otherwise 503
+//   GET /metrics   metrics in the Prometheus text format
+//   POST /rpc      JSON-RPC 2.0: operators with the admin token (status,
+//                  explain, lift, drain; history and get where the box replays
+//                  the configuration log), boxes with the peer proof (records,
+//                  snapshot and ledger where it replays that log, and the
+//                  methods that other services add)
+//   POST /claim    a claim to decide, from boxes with the peer proof; plain
+//                  HTTP, since a handler of the JSON-RPC library can't wait
 #ifndef SPARBEND_SERVICES_ADMIN_H_
 #define SPARBEND_SERVICES_ADMIN_H_
 
@@ -29,52 +31,60 @@
 
 class Admin : public Service {
  public:
-  // `drain` begins the planned stop of the box.
+  // `drain` starts the planned stop of the box.
   Admin(Kernel* kernel, const Settings& settings, std::function<void()> drain);
 
   void Start() override;
   void Stop() override;
 
   void SetDraining() { draining_ = true; }
-  // Adds a method that other boxes may call.
+  // Adds a JSON-RPC method that other boxes may call.
   void AddPeerMethod(const std::string& name, RpcServer::Method method) {
     peer_rpc_.Add(name, std::move(method));
   }
+  // Address of the admin server once started.
   auto address() const -> std::string { return server_.address(); }
-  // Where other boxes call this one.
+  // Address at which other boxes call this one, once started.
   auto peer_rpc_address() const -> std::string {
     return settings_.peer_rpc_address.empty() ? server_.address()
                                               : peer_server_.address();
   }
 
  private:
-  // Why callers should not be sent here now; empty when they may.
-  auto WhyNotReady() const -> std::string;
+  // Why clients should not be sent to this box now; empty if they may.
+  auto NotReadyReason() const -> std::string;
   auto Handle(StringRequest request) -> asio::awaitable<StringResponse>;
   auto HandleClaim(const StringRequest& request)
       -> asio::awaitable<StringResponse>;
-  auto FromPeer(const StringRequest& request) const -> bool;
+  // Whether the request has a valid peer proof.
+  auto HasPeerProof(const StringRequest& request) const -> bool;
   auto HandleRpc(const StringRequest& request) -> StringResponse;
   void AddOperatorMethods();
-  void AddFoldMethods();
+  void AddConfigLogMethods();
   void Listen(HttpServer* server, const std::string& address);
   auto Status() const -> Json;
+  // The blocked requests.
   auto Quarantined() const -> Json;
-  auto Lift(const std::string& name) -> Json;
+  // Releases the blocked requests of a workspace.
+  auto ReleaseQuarantined(const std::string& name) -> Json;
+  // Why the requests of a workspace wait on this box.
   auto Explain(const std::string& workspace) const -> Json;
-  auto History(int64_t most) const -> Json;
+  // The newest decisions on configuration changes, at most `max_decisions`.
+  auto History(int64_t max_decisions) const -> Json;
+  // The configuration document `name`, or all if `name` is empty.
   auto Documents(const std::string& name) const -> Json;
 
   Kernel* kernel_;
   Settings settings_;
   std::function<void()> drain_;
   HttpServer server_;
-  HttpServer peer_server_;  // where boxes call on an address of their own
+  HttpServer peer_server_;  // used if peers have an address of their own
   RpcServer operator_rpc_;
   RpcServer peer_rpc_;
   bool draining_ = false;
   std::shared_ptr<CatalogSource> config_;
-  std::shared_ptr<ConfigService> fold_;  // null without the own log
+  std::shared_ptr<ConfigService>
+      config_log_;  // null if the box does not replay the log
   std::shared_ptr<Scheduler> scheduler_;
   std::shared_ptr<Runner> runner_;
   std::shared_ptr<Claims> claims_;
--- a/sparbend/services/config.cc
+++ b/sparbend/services/config.cc
@@ -1,13 +1,15 @@
-// A box without state takes the highest valid of: a peer's snapshot, the log
-// (from its start, or from a snapshot in it). Only then does it serve. Once
-// loaded it never goes back: the fold's offset only rises, and while the
-// platform is out of reach the last accepted state stays in force.
+// A box that starts loads the configuration from the log (from its start, or
+// from a snapshot in it) or, while the log can't be read, from a peer. It
+// serves no requests before that. Once loaded, the configuration never goes
+// back: the offset of the replicated state only grows, and while the platform
+// is unreachable the last accepted state stays active.
 //
-// Two boxes of a hall wait on the log; the rest see a peer's higher offset in
-// its datagrams and fetch the records there. Each box also looks at the log
-// now and then by itself, in case both readers cannot reach it. Following the
-// log and following peers are two tasks, so that a log that hangs delays
-// nothing that peers already know; records applied twice are passed over.
+// Two boxes of a hall wait for new records of the log. The others see a peer's
+// higher offset in its datagrams and fetch the records from that peer. Each box
+// also polls the log now and then, in case neither log reader reaches it.
+// Following the log and following peers are separate tasks, so a log that hangs
+// does not delay what peers already know. Records that were applied before are
+// skipped.
 #include "sparbend/services/config.h"
 
 #include <algorithm>
@@ -17,20 +19,28 @@
 namespace sparbend {
 namespace {
 
-constexpr size_t kTailersPerHall = 2;
-constexpr Millis kTailWait = Millis(5'000);
-constexpr Millis kRoundPause = Millis(50);
-constexpr Millis kPauseAfterFailure = Millis(500);
-constexpr int64_t kOwnLookMs = 10'000;
-constexpr size_t kRecentBytes = 4 * 1024 * 1024;
-constexpr int64_t kSnapshotRecords = 512;
-constexpr int64_t kSnapshotMs = 60'000;
-constexpr int kPeersAsked = 4;
-constexpr Millis kListPatience = Millis(2'000);
-constexpr const char* kTailDuty = "config-log";
+constexpr size_t kLogReadersPerHall = 2;
+constexpr Millis kLogReadWait = Millis(5'000);
+constexpr Millis kPollInterval = Millis(50);
+constexpr Millis kRetryDelay = Millis(500);
+// Each box polls the log at random intervals between this and twice this.
+constexpr int64_t kMinOwnPollMs = 10'000;
+// Bytes of recent records kept for peers. A page for a peer ends after a
+// quarter of this.
+constexpr size_t kMaxRecentBytes = 4 * 1024 * 1024;
+// A snapshot is due after a random number of records between this and twice
+// this, or after a random time between the interval below and one and a half of
+// it.
+constexpr int64_t kMinSnapshotRecords = 512;
+constexpr int64_t kMinSnapshotIntervalMs = 60'000;
+constexpr int kMaxPeersAsked = 4;
+// How long a box that starts waits for the first list of boxes before it asks
+// peers for service counters.
+constexpr Millis kListTimeout = Millis(2'000);
+constexpr const char* kLogReaderRole = "config-log";
 
-// Built outside the coroutines: g++ 12 miscompiles braced initialisers inside
-// an awaiting expression.
+// A function of its own, since g++ 12 miscompiles braced initialisers inside an
+// expression with co_await.
 auto FromOffset(int64_t offset) -> Json {
   return Json{{"from", offset}};
 }
@@ -46,7 +56,7 @@
           [this](const Decision& decision, const std::string& record) {
             OnRecord(decision, record);
           },
-          [this] { InForce(); }),
+          [this] { ActivateCatalog(); }),
       random_(StableHash(settings.name)) {}
 
 void ConfigService::Start() {
@@ -65,13 +75,14 @@
                  : "no configuration has been read yet";
 }
 
-void ConfigService::InForce() {
+void ConfigService::ActivateCatalog() {
   TrimRecent();
   if (loaded_)
     scheduler_->SetCatalog(fold_.catalog(), fold_.next_offset());
 }
 
-// Records kept must end where the fold stands; a snapshot breaks that.
+// The kept records must end at the offset of the replicated state. A snapshot
+// moves that offset without records, and then they are dropped.
 void ConfigService::TrimRecent() {
   const size_t expected = static_cast<size_t>(
       std::max<int64_t>(0, fold_.next_offset() - recent_first_));
@@ -86,15 +97,15 @@
                              const std::string& record) {
   recent_.push_back(record);
   recent_bytes_ += record.size();
-  while (recent_bytes_ > kRecentBytes) {
+  while (recent_bytes_ > kMaxRecentBytes) {
     recent_bytes_ -= recent_.front().size();
     recent_.pop_front();
     ++recent_first_;
   }
   ++records_since_snapshot_;
-  InForce();
+  ActivateCatalog();
   if (decision.outcome == Outcome::kSnapshot) {
-    snapshot_seen_ = kernel_->Now();
+    last_snapshot_ = kernel_->Now();
     records_since_snapshot_ = 0;
     return;
   }
@@ -108,8 +119,8 @@
        {"cause", decision.cause}});
 }
 
-void ConfigService::TakeRecords(int64_t first,
-                                const std::vector<std::string>& records) {
+void ConfigService::ApplyRecords(int64_t first,
+                                 const std::vector<std::string>& records) {
   int64_t offset = first;
   for (const std::string& record : records) {
     if (offset == fold_.next_offset())
@@ -124,7 +135,7 @@
   Json records = Json::array();
   size_t bytes = 0;
   for (size_t i = static_cast<size_t>(from - recent_first_);
-       i < recent_.size() && bytes < kRecentBytes / 4; ++i) {
+       i < recent_.size() && bytes < kMaxRecentBytes / 4; ++i) {
     records.push_back(recent_[i]);
     bytes += recent_[i].size();
   }
@@ -132,8 +143,8 @@
 }
 
 auto ConfigService::FetchFrom(BoxId peer) -> asio::awaitable<bool> {
-  const Json wanted = FromOffset(fold_.next_offset());
-  const Result<Json> records = co_await peers_->Call(peer, "records", wanted);
+  const Json params = FromOffset(fold_.next_offset());
+  const Result<Json> records = co_await peers_->Call(peer, "records", params);
   if (!records)
     co_return false;
   std::vector<Problem> problems;
@@ -141,26 +152,26 @@
   const int64_t first = reader.Integer("first", {1, INT64_MAX}, 0);
   const std::vector<std::string> list = reader.Strings("records");
   if (first != 0 && problems.empty()) {
-    TakeRecords(first, list);
+    ApplyRecords(first, list);
     co_return true;
   }
-  const Json nothing = Json::object();
+  const Json no_params = Json::object();
   const Result<Json> snapshot =
-      co_await peers_->Call(peer, "snapshot", nothing);
+      co_await peers_->Call(peer, "snapshot", no_params);
   if (!snapshot)
     co_return false;
   Result<ConfigFold> restored = DecodeSnapshotRecord(*snapshot);
   if (!restored || restored->next_offset() <= fold_.next_offset())
     co_return false;
   fold_ = std::move(*restored);
-  InForce();
+  ActivateCatalog();
   co_return true;
 }
 
-auto ConfigService::FromPeers() -> asio::awaitable<bool> {
+auto ConfigService::LoadFromPeers() -> asio::awaitable<bool> {
   int asked = 0;
   for (const BoxId peer : peers_->Listed()) {
-    if (++asked > kPeersAsked)
+    if (++asked > kMaxPeersAsked)
       break;
     if (co_await FetchFrom(peer) && fold_.next_offset() > 1)
       co_return true;
@@ -168,7 +179,7 @@
   co_return false;
 }
 
-auto ConfigService::TailLog(Millis wait) -> asio::awaitable<bool> {
+auto ConfigService::ReadLog(Millis wait) -> asio::awaitable<bool> {
   const Result<bool> read = co_await reader_.Step(&fold_, wait);
   metrics_->platform_bytes.Increment(
       static_cast<double>(log_.bytes() - counted_bytes_));
@@ -182,20 +193,22 @@
   co_return true;
 }
 
-// A box that starts knows nothing of the service received so far: the first
-// peer that answers tells. Without any it serves all the same.
-auto ConfigService::RecoverLedger() -> asio::awaitable<void> {
-  const Millis give_up = kernel_->Now() + kListPatience;
+// A box that starts has no service counters, so it takes those of the first
+// peer that answers. If none does, it starts without them.
+auto ConfigService::RecoverServiceCounters() -> asio::awaitable<void> {
+  const Millis deadline = kernel_->Now() + kListTimeout;
   while (scheduler_->node().members().list().version == 0 &&
-         kernel_->Now() < give_up)
-    co_await Sleep(kRoundPause);
+         kernel_->Now() < deadline)
+    co_await Sleep(kPollInterval);
   int asked = 0;
-  const Json nothing = Json::object();
+  const Json no_params = Json::object();
   for (const BoxId peer : peers_->Listed()) {
-    if (++asked > kPeersAsked)
+    if (++asked > kMaxPeersAsked)
       co_return;
-    const Result<Json> books = co_await peers_->Call(peer, "ledger", nothing);
-    if (books && scheduler_->node().ledger().Import(*books)) {
+    const Result<Json> service_counters =
+        co_await peers_->Call(peer, "ledger", no_params);
+    if (service_counters &&
+        scheduler_->node().ledger().Import(*service_counters)) {
       Log(LogLevel::kInfo, "books-recovered", Json::object());
       co_return;
     }
@@ -211,35 +224,38 @@
       Log(LogLevel::kWarning, "not-ready",
           {{"error", read.error().code.message()},
            {"detail", read.error().detail}});
-      loaded = co_await FromPeers();
+      loaded = co_await LoadFromPeers();
     }
     if (!loaded)
-      co_await Sleep(kPauseAfterFailure);
+      co_await Sleep(kRetryDelay);
   }
-  co_await RecoverLedger();
+  co_await RecoverServiceCounters();
   loaded_ = true;
-  InForce();
-  snapshot_seen_ = kernel_->Now();
+  ActivateCatalog();
+  last_snapshot_ = kernel_->Now();
   Log(LogLevel::kInfo, "configuration-loaded",
       {{"offset", fold_.next_offset()}});
 }
 
-auto ConfigService::IsTailer() const -> bool {
-  return scheduler_->node().members().HasRole(kTailDuty, kTailersPerHall,
-                                              kernel_->Now());
+auto ConfigService::IsLogReader() const -> bool {
+  return scheduler_->node().members().HasRole(
+      kLogReaderRole, kLogReadersPerHall, kernel_->Now());
 }
 
-auto ConfigService::MaybeSnapshot() -> asio::awaitable<void> {
-  const Millis age = kernel_->Now() - snapshot_seen_;
-  // Jitter, so that mostly one of the readers publishes and the others see it.
-  const auto due =
-      Millis(kSnapshotMs + static_cast<int64_t>(random_() % (kSnapshotMs / 2)));
-  const bool many =
+auto ConfigService::AppendSnapshotIfDue() -> asio::awaitable<void> {
+  const Millis age = kernel_->Now() - last_snapshot_;
+  // Random additions, so that usually only one of the log readers appends a
+  // snapshot and the others see it.
+  const auto interval =
+      Millis(kMinSnapshotIntervalMs +
+             static_cast<int64_t>(random_() % (kMinSnapshotIntervalMs / 2)));
+  const bool many_records =
       records_since_snapshot_ >=
-      kSnapshotRecords + static_cast<int64_t>(random_() % kSnapshotRecords);
-  if (fold_.next_offset() <= 1 || (age < due && !many))
+      kMinSnapshotRecords +
+          static_cast<int64_t>(random_() % kMinSnapshotRecords);
+  if (fold_.next_offset() <= 1 || (age < interval && !many_records))
     co_return;
-  snapshot_seen_ = kernel_->Now();
+  last_snapshot_ = kernel_->Now();
   records_since_snapshot_ = 0;
   std::vector<std::string> records;
   records.push_back(EncodeSnapshotRecord(fold_));
@@ -252,27 +268,27 @@
 auto ConfigService::FollowPeers() -> asio::awaitable<void> {
   while (true) {
     const auto [highest, peer] = scheduler_->node().HighestOffset();
-    const bool behind = highest > fold_.next_offset() &&
-                        peer != scheduler_->node().members().self();
-    if (behind && !co_await FetchFrom(peer))
-      co_await Sleep(kPauseAfterFailure);
-    co_await Sleep(kRoundPause);
+    const bool peer_is_ahead = highest > fold_.next_offset() &&
+                               peer != scheduler_->node().members().self();
+    if (peer_is_ahead && !co_await FetchFrom(peer))
+      co_await Sleep(kRetryDelay);
+    co_await Sleep(kPollInterval);
   }
 }
 
 auto ConfigService::FollowLog() -> asio::awaitable<void> {
   while (true) {
-    const bool tailer = IsTailer();
+    const bool is_log_reader = IsLogReader();
     bool read = true;
-    if (tailer || kernel_->Now() >= next_poll_) {
-      read = co_await TailLog(tailer ? kTailWait : Millis(0));
-      next_poll_ =
-          kernel_->Now() +
-          Millis(kOwnLookMs + static_cast<int64_t>(random_() % kOwnLookMs));
-      if (tailer && read)
-        co_await MaybeSnapshot();
+    if (is_log_reader || kernel_->Now() >= next_poll_) {
+      read = co_await ReadLog(is_log_reader ? kLogReadWait : Millis(0));
+      next_poll_ = kernel_->Now() +
+                   Millis(kMinOwnPollMs +
+                          static_cast<int64_t>(random_() % kMinOwnPollMs));
+      if (is_log_reader && read)
+        co_await AppendSnapshotIfDue();
     }
-    co_await Sleep(read ? kRoundPause : kPauseAfterFailure);
+    co_await Sleep(read ? kPollInterval : kRetryDelay);
   }
 }
 
--- a/sparbend/services/metrics.cc
+++ b/sparbend/services/metrics.cc
@@ -25,7 +25,8 @@
       .Add({});
 }
 
-auto QueueBuckets() -> prometheus::Histogram::BucketBoundaries {
+// Upper bounds in seconds; so are those below.
+auto RequestTimeBuckets() -> prometheus::Histogram::BucketBoundaries {
   return {0.001, 0.005, 0.02, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2, 10, 60};
 }
 
@@ -42,120 +43,140 @@
 Metrics::Metrics() : Metrics(std::make_shared<prometheus::Registry>()) {}
 
 Metrics::Metrics(std::shared_ptr<prometheus::Registry> registry)
-    : retries(NewCounter(*registry, "retries_total", "Attempts made again")),
-      resumes(NewCounter(*registry, "resumes_total", "Streams taken up again")),
-      retries_denied(NewCounter(*registry,
-                                "retries_denied_total",
-                                "Attempts not made again for lack of budget")),
+    : retries(NewCounter(*registry, "retries_total", "Retries of attempts")),
+      resumes(NewCounter(*registry, "resumes_total", "Streams resumed")),
+      retries_denied(
+          NewCounter(*registry,
+                     "retries_denied_total",
+                     "Retries not made since the retry budget was used up")),
       connections(NewCounter(*registry,
                              "target_connections_total",
                              "Connections opened to targets")),
-      foreign_answers(NewCounter(*registry,
-                                 "foreign_answers_total",
-                                 "Answers that belonged to no request")),
+      foreign_answers(
+          NewCounter(*registry,
+                     "foreign_answers_total",
+                     "Responses of targets that belonged to no request")),
       ejections(NewCounter(*registry,
                            "target_ejections_total",
-                           "Targets left out for a while")),
+                           "Ejections of targets for a while")),
       runs_ended_with_target(
           NewCounter(*registry,
                      "runs_ended_with_target_total",
-                     "Requests at targets that ended while they had them")),
+                     "Requests at targets that exited while executing them")),
       quarantine_refusals(
           NewCounter(*registry,
                      "quarantine_refusals_total",
-                     "Requests not sent, since targets ended under them")),
+                     "Requests refused since targets exited while "
+                     "executing them")),
       list_refusals(NewCounter(*registry,
                                "list_refusals_total",
-                               "Requests not sent, since the list of targets "
-                               "was out of date")),
+                               "Requests refused since the list of targets was "
+                               "out of date")),
       backoffs_asked(NewCounter(*registry,
                                 "backoffs_asked_total",
-                                "Refusals of targets with Retry-After")),
+                                "Rejections by targets with Retry-After")),
       store_calls(NewCounter(*registry,
                              "store_calls_total",
                              "Calls to the platform's store")),
       store_failures(NewCounter(*registry,
                                 "store_failures_total",
-                                "Calls to the store without a good answer")),
+                                "Failed calls to the platform's store")),
       caller_left(NewCounter(*registry,
                              "caller_left_total",
-                             "Callers gone before their answer was whole")),
-      connections_refused(NewCounter(*registry,
-                                     "connections_refused_total",
-                                     "Callers' connections closed unread")),
-      tokens(NewCounter(*registry, "tokens_total", "Service tokens relayed")),
-      peer_bytes_sent(NewCounter(*registry,
-                                 "peer_bytes_sent_total",
-                                 "Bytes to other boxes, headers included")),
+                             "Clients that left before their response was "
+                             "complete")),
+      connections_refused(
+          NewCounter(*registry,
+                     "connections_refused_total",
+                     "Connections of clients closed without being read")),
+      tokens(NewCounter(*registry, "tokens_total", "Service in tokens")),
+      peer_bytes_sent(
+          NewCounter(*registry,
+                     "peer_bytes_sent_total",
+                     "Bytes sent to other boxes, IP and UDP headers "
+                     "included")),
       peer_datagrams_sent(NewCounter(*registry,
                                      "peer_datagrams_sent_total",
-                                     "Datagrams to other boxes")),
+                                     "Datagrams sent to other boxes")),
       peer_datagrams_refused(NewCounter(*registry,
                                         "peer_datagrams_refused_total",
-                                        "Datagrams not taken")),
-      control_cpu_us(NewCounter(*registry,
-                                "control_cpu_us_total",
-                                "Processor time of control, microseconds")),
-      platform_bytes(NewCounter(*registry,
-                                "platform_bytes_total",
-                                "Bytes to and from the platform")),
-      claims_won(NewCounter(*registry, "claims_won_total", "Claims won")),
-      claims_lost(NewCounter(*registry, "claims_lost_total", "Claims lost")),
+                                        "Datagrams received and refused")),
+      control_cpu_us(
+          NewCounter(*registry,
+                     "control_cpu_us_total",
+                     "Processor time of scheduling and of the exchange "
+                     "of datagrams, microseconds")),
+      platform_bytes(
+          NewCounter(*registry,
+                     "platform_bytes_total",
+                     "Bytes sent to and received from the platform")),
+      claims_won(
+          NewCounter(*registry, "claims_won_total", "Claims won by this box")),
+      claims_lost(NewCounter(*registry,
+                             "claims_lost_total",
+                             "Claims lost to another claim")),
       claim_appends(NewCounter(*registry,
                                "claim_appends_total",
                                "Appends of claims to the log")),
       callers_waiting(NewGauge(*registry,
                                "callers_waiting",
-                               "Callers connected and not read yet")),
-      queued(NewGauge(*registry, "queued", "Requests waiting here")),
-      in_flight(NewGauge(*registry, "in_flight", "Requests at targets")),
+                               "Accepted connections not read yet")),
+      queued(NewGauge(*registry, "queued", "Requests queued on this box")),
+      in_flight(
+          NewGauge(*registry, "in_flight", "Requests executing at targets")),
       config_offset(
-          NewGauge(*registry, "config_offset", "Next log record to fold")),
+          NewGauge(*registry,
+                   "config_offset",
+                   "Offset of the next configuration record to read")),
       evacuated_halls(NewGauge(*registry,
                                "evacuated_halls",
-                               "Halls in which no new work starts")),
+                               "Evacuated halls, in which no new work starts")),
       quarantined(NewGauge(*registry,
                            "quarantined",
-                           "Requests that are not sent for now, since targets "
-                           "ended under them")),
-      live_boxes(NewGauge(*registry, "live_boxes", "Boxes heard of lately")),
+                           "Requests blocked now, since targets exited while "
+                           "executing them")),
+      live_boxes(NewGauge(*registry,
+                          "live_boxes",
+                          "Boxes from which a datagram arrived recently")),
       fleet_sum_age(NewGauge(*registry,
                              "fleet_sum_age_seconds",
-                             "Age of what is known of other boxes' work, in a "
-                             "fleet that adds up by halls")),
-      log_lines_dropped(NewGauge(*registry,
-                                 "log_lines_dropped",
-                                 "Log lines that a slow reader had no room "
-                                 "for")),
+                             "Age of the fleet aggregate, in a fleet that "
+                             "aggregates load reports by halls")),
+      log_lines_dropped(
+          NewGauge(*registry,
+                   "log_lines_dropped",
+                   "Log lines dropped since the reader of the log "
+                   "was too slow")),
       queue_seconds(prometheus::BuildHistogram()
                         .Name("sparbend_queue_seconds")
-                        .Help("Time from receipt to dispatch")
+                        .Help("Time from receipt of a request to its dispatch")
                         .Register(*registry)
-                        .Add({}, QueueBuckets())),
+                        .Add({}, RequestTimeBuckets())),
       first_byte_seconds(
           prometheus::BuildHistogram()
               .Name("sparbend_first_byte_seconds")
-              .Help("Time from receipt to the answer's first byte")
+              .Help("Time from receipt of a request to the first byte of "
+                    "its response")
               .Register(*registry)
-              .Add({}, QueueBuckets())),
+              .Add({}, RequestTimeBuckets())),
       withdrawal_seconds(
           prometheus::BuildHistogram()
               .Name("sparbend_withdrawal_seconds")
-              .Help("Time from the last list that named a target as usable to "
-                    "the one that does not")
+              .Help("Time from the last list that had a target as usable to "
+                    "the first that did not")
               .Register(*registry)
               .Add({}, WithdrawalBuckets())),
       backoff_last_refusal_seconds(
           prometheus::BuildHistogram()
               .Name("sparbend_backoff_last_refusal_seconds")
-              .Help("Time from a target's first refusal with Retry-After to "
-                    "its last within the time that it asked for")
+              .Help("Time from a target's first rejection with Retry-After "
+                    "to its last within the time that it asked for")
               .Register(*registry)
               .Add({}, BackoffBuckets())),
       registry_(registry),
       answers_(prometheus::BuildCounter()
                    .Name("sparbend_answers_total")
-                   .Help("Answers to callers by status and verdict")
+                   .Help("Responses to clients by status and verdict")
                    .Register(*registry)) {}
 
 auto Metrics::Render() const -> std::string {
--- a/sparbend/services/metrics.h
+++ b/sparbend/services/metrics.h
@@ -1,5 +1,6 @@
-// The daemon's Prometheus metrics. Names and meanings stand in
-// docs/OPERATIONS.md.
+// The service "metrics": the Prometheus metrics of a box. Each member is one
+// metric; metrics.cc has its outer name and help text, and docs/OPERATIONS.md
+// describes all of them.
 #ifndef SPARBEND_SERVICES_METRICS_H_
 #define SPARBEND_SERVICES_METRICS_H_
 
@@ -19,10 +20,11 @@
  public:
   Metrics();
 
-  // Text exposition of everything.
+  // All metrics in the Prometheus text format.
   auto Render() const -> std::string;
 
-  // A caller's request ended with `status`; `verdict` as sent.
+  // Counts a response to a client by HTTP status and by the verdict sent with
+  // it.
   void CountAnswer(int status, std::string_view verdict);
 
   prometheus::Counter& retries;
@@ -38,17 +40,18 @@
   prometheus::Counter& store_calls;
   prometheus::Counter& store_failures;
   prometheus::Counter& caller_left;
-  prometheus::Counter& connections_refused;  // of callers, closed unread
+  prometheus::Counter&
+      connections_refused;  // of clients, closed without being read
   prometheus::Counter& tokens;
   prometheus::Counter& peer_bytes_sent;  // IP and UDP headers included
   prometheus::Counter& peer_datagrams_sent;
   prometheus::Counter& peer_datagrams_refused;
-  prometheus::Counter& control_cpu_us;  // time spent deciding and telling
+  prometheus::Counter& control_cpu_us;  // scheduling and exchange of datagrams
   prometheus::Counter& platform_bytes;
   prometheus::Counter& claims_won;
   prometheus::Counter& claims_lost;
   prometheus::Counter& claim_appends;
-  prometheus::Gauge& callers_waiting;  // connected and not read yet
+  prometheus::Gauge& callers_waiting;  // accepted connections not read yet
   prometheus::Gauge& queued;
   prometheus::Gauge& in_flight;
   prometheus::Gauge& config_offset;
@@ -59,11 +62,11 @@
   prometheus::Gauge& log_lines_dropped;
   prometheus::Histogram& queue_seconds;
   prometheus::Histogram& first_byte_seconds;
-  // From the last list that named a target as usable to the one that does not:
-  // the most by which its withdrawal can be late.
+  // Time from the last list that had a target as usable to the first that did
+  // not: an upper bound on the delay of its withdrawal.
   prometheus::Histogram& withdrawal_seconds;
-  // From a target's first refusal with Retry-After to the last one within the
-  // time that it asked for: how late a request still reached it.
+  // Time from a target's first rejection with Retry-After to the last one
+  // within the time that it asked for: how late a request still reached it.
   prometheus::Histogram& backoff_last_refusal_seconds;
 
  private:
