--- a/sparbend/services/declarations.cc
+++ b/sparbend/services/declarations.cc
@@ -1,12 +1,12 @@
-// Versions only rise within the life of a process, whichever way a
-// configuration came; so neither a copy of the store that is behind nor a
-// slow peer takes one back. Boxes tell each other the offset up to which they
-// know what operators wrote: that covers configurations and emptied halls
-// alike, and a hall that is to be empty is known to all as soon as a new
-// version is.
+// Within one run of the process the version of the configuration only grows, no
+// matter whether it comes from the store or from a peer, so neither an outdated
+// replica of the store nor a slow peer can revert it. Boxes send each
+// other the offset up to which they know the records of operators. The offset
+// covers configurations and evacuated halls alike, so an evacuated hall becomes
+// known to all boxes as fast as a new configuration does.
 //
-// Following the store and following peers are two tasks: a store that hangs
-// delays nothing that peers already know.
+// Following the store and following peers are separate tasks, so a store that
+// hangs does not delay what peers already know.
 #include "sparbend/services/declarations.h"
 
 #include "sparbend/core/digest.h"
@@ -16,41 +16,46 @@
 namespace sparbend {
 namespace {
 
-// A held call to the store is answered within this time, and then made
-// again. A dead connection is noticed a little later, which must be well
-// within the three seconds in which a box may lag after an outage.
-constexpr Millis kHold = Millis(2'000);
-constexpr Millis kPauseAfterFailure = Millis(250);
-// One box of a hall waits on the store. The others hear of a new version from
-// it, and look for themselves now and then (PollTimer), in case all who wait
-// are cut off. While boxes that wait are heard to reach the store, others look
-// about twice a second in the whole fleet.
-constexpr LookRate kRareLooks = {550, 300'000};
-constexpr Millis kLook = Millis(50);
-// What peers have is asked of the store first, for so long.
-constexpr Millis kStoreFirst = Millis(300);
-// Between two calls for versions that peers have: a fifth of the time in which
-// a change must be in force, so that of a quick succession not each is read.
-constexpr Millis kPauseBehind = Millis(400);
-// A configuration that a peer was seen to have is asked for again after this.
-constexpr Millis kPauseAfterPeer = Millis(200);
-constexpr const char* kMethod = "declarations";
+// A call that waits for new records is answered within this time and then
+// repeated. A dead connection is noticed a little later, which must be well
+// within the three seconds for which a box may be behind after an outage.
+constexpr Millis kStoreReadWait = Millis(2'000);
+constexpr Millis kSeedRetryDelay = Millis(250);
+// One box of a hall, its store reader, waits for new records of the store. The
+// others get to know of a new version from it, and poll the store now and then
+// (PollTimer) in case all store readers are cut off. While store readers are
+// known to reach the store, all other boxes together poll it about twice a
+// second.
+constexpr LookRate kRarePollRate = {550, 300'000};
+constexpr Millis kPollInterval = Millis(50);
+// When a peer knows newer records, this box tries for this long to read them
+// from the store before it asks the peer.
+constexpr Millis kStoreReadTime = Millis(300);
+// Minimum time between two reads of the store for versions that peers have: a
+// fifth of the time within which a change must be active, so that not every
+// change of a quick succession is read.
+constexpr Millis kMinCatchUpInterval = Millis(400);
+// Pause after a peer was asked for its configuration.
+constexpr Millis kPeerRetryDelay = Millis(200);
+// JSON-RPC method by which peers get the configuration.
+constexpr const char* kPeerMethod = "declarations";
 
 }  // namespace
 
 Declarations::Declarations(Kernel* kernel, const Settings& settings)
     : kernel_(kernel),
       settings_(settings),
-      looks_(StableHash(settings.name)),
-      rare_looks_(StableHash(settings.name), kRareLooks) {}
+      poll_timer_(StableHash(settings.name)),
+      rare_poll_timer_(StableHash(settings.name), kRarePollRate) {}
 
 void Declarations::Start() {
-  feed_ = kernel_->Find<DeclarationSource>("declarations-feed");
+  source_ = kernel_->Find<DeclarationSource>("declarations-feed");
   scheduler_ = kernel_->Find<Scheduler>("scheduler");
   peers_ = kernel_->Find<Peers>("peers");
   directory_ = kernel_->Find<Directory>("directory");
   kernel_->Find<Admin>("admin")->AddPeerMethod(
-      kMethod, [this](const std::string&) { return Tell().dump(); });
+      kPeerMethod,
+      [this](const std::string&) { return StateForPeers().dump(); });
   kernel_->Spawn("declarations-store", FollowStore());
   kernel_->Spawn("declarations-peers", FollowPeers());
   kernel_->Spawn("declarations-seeds", AskSeeds());
@@ -65,15 +70,16 @@
                        : "no list of targets has been read yet";
 }
 
-auto Declarations::Tell() const -> Json {
+auto Declarations::StateForPeers() const -> Json {
   return Json{{"version", version_},
               {"document", document_},
               {"offset", offset_},
-              {"evacuated_halls", halls_.halls()}};
+              {"evacuated_halls", evacuated_halls_.halls()}};
 }
 
-void Declarations::Take(const std::string& document, const std::string& from) {
-  const Result<DeclaredCatalog> declared = feed_->decode(document);
+void Declarations::ApplyDocument(const std::string& document,
+                                 const std::string& from) {
+  const Result<DeclaredCatalog> declared = source_->decode(document);
   if (!declared) {
     Log(LogLevel::kError, "configuration-unreadable",
         {{"from", from}, {"why", declared.error().detail}});
@@ -100,41 +106,44 @@
   if (offset <= offset_ && !halls_changed)
     return;
   offset_ = std::max(offset_, offset);
-  scheduler_->SetEvacuatedHalls(halls_.halls(), offset_);
+  scheduler_->SetEvacuatedHalls(evacuated_halls_.halls(), offset_);
   if (halls_changed)
     Log(LogLevel::kWarning, "evacuated-halls",
-        {{"halls", halls_.halls()}, {"offset", offset_}, {"from", from}});
+        {{"halls", evacuated_halls_.halls()},
+         {"offset", offset_},
+         {"from", from}});
 }
 
-void Declarations::TakePage(const KeyedPage& page) {
+void Declarations::ApplyPage(const KeyedPage& page) {
   bool halls_changed = false;
   std::set<std::string> named;
   for (const KeyedRecord& record : page.records) {
-    if (record.key == feed_->key) {
+    if (record.key == source_->key) {
       if (record.value)
-        Take(*record.value, "store");
+        ApplyDocument(*record.value, "store");
       continue;
     }
-    const std::optional<std::string> hall = feed_->evacuated_hall(record.key);
+    const std::optional<std::string> hall = source_->evacuated_hall(record.key);
     if (!hall)
       continue;
     if (record.value)
       named.insert(*hall);
-    const bool news = record.value ? halls_.Put(*hall, record.offset)
-                                   : halls_.Drop(*hall, record.offset);
-    halls_changed = halls_changed || news;
+    const bool record_changed =
+        record.value ? evacuated_halls_.Put(*hall, record.offset)
+                     : evacuated_halls_.Drop(*hall, record.offset);
+    halls_changed = halls_changed || record_changed;
   }
   if (page.whole)
-    halls_changed = halls_.Retain(named, page.next) || halls_changed;
+    halls_changed = evacuated_halls_.Retain(named, page.next) || halls_changed;
   SetOffset(page.next, halls_changed, "store");
 }
 
-void Declarations::TakeAnswer(const Result<Json>& answer,
-                              const std::string& from) {
+void Declarations::ApplyPeerAnswer(const Result<Json>& answer,
+                                   const std::string& from) {
   if (!answer)
-    return;  // the next look asks again
+    return;  // the next poll asks again
   std::vector<Problem> problems;
-  FieldReader reader(*answer, kMethod, &problems);
+  FieldReader reader(*answer, kPeerMethod, &problems);
   const int64_t version = reader.Integer("version", {0, INT64_MAX}, 0);
   const std::string document = reader.String("document", "");
   const int64_t offset = reader.Integer("offset", {0, INT64_MAX}, 0);
@@ -144,97 +153,100 @@
   if (!problems.empty())
     return;
   if (version > version_)
-    Take(document, from);
+    ApplyDocument(document, from);
   if (offset <= offset_)
     return;
-  bool changed = halls_.Retain(halls, offset);
+  bool changed = evacuated_halls_.Retain(halls, offset);
   for (const std::string& hall : halls)
-    changed = halls_.Put(hall, offset - 1) || changed;
+    changed = evacuated_halls_.Put(hall, offset - 1) || changed;
   SetOffset(offset, changed, from);
 }
 
-// A look that was due while others were heard to look is put off.
-auto Declarations::LookDue(Millis now) -> bool {
-  if (!directory_->fresh())
-    return looks_.Due(now);
-  if (rare_looks_.Due(now))
+// A poll that comes due while store readers are known to reach the store is put
+// off.
+auto Declarations::PollDue(Millis now) -> bool {
+  if (!directory_->has_fresh_list())
+    return poll_timer_.Due(now);
+  if (rare_poll_timer_.Due(now))
     return true;
-  if (looks_.Due(now))
-    looks_.MarkPolled(Boxes(), now);
+  if (poll_timer_.Due(now))
+    poll_timer_.MarkPolled(ListedBoxCount(), now);
   return false;
 }
 
 void Declarations::MarkPolled(Millis now) {
-  looks_.MarkPolled(Boxes(), now);
-  rare_looks_.MarkPolled(Boxes(), now);
+  poll_timer_.MarkPolled(ListedBoxCount(), now);
+  rare_poll_timer_.MarkPolled(ListedBoxCount(), now);
 }
 
-auto Declarations::Boxes() const -> size_t {
+auto Declarations::ListedBoxCount() const -> size_t {
   return scheduler_->node().members().list().boxes.size();
 }
 
 auto Declarations::FollowStore() -> asio::awaitable<void> {
-  KeyedLogReader reader(feed_->log);
-  Millis looked;
+  KeyedLogReader reader(source_->log);
+  Millis read_at;
   while (true) {
     const Millis now = kernel_->Now();
-    const bool waits = scheduler_->node().IsStoreReader(now);
-    // Who hears of something newer reads it itself: one box handing it to all
-    // others would be too much for that box when there are many.
+    const bool is_store_reader = scheduler_->node().IsStoreReader(now);
+    // A box that sees from datagrams that there are newer records reads them
+    // from the store itself. In a large fleet, serving them to all others would
+    // overload a single box.
     const bool behind = scheduler_->node().HighestOffset().first > offset_ &&
-                        now - looked >= kPauseBehind;
-    if (!waits && !behind && !LookDue(now)) {
-      co_await kernel_->SleepToTick(kLook);
+                        now - read_at >= kMinCatchUpInterval;
+    if (!is_store_reader && !behind && !PollDue(now)) {
+      co_await kernel_->SleepToTick(kPollInterval);
       continue;
     }
-    looked = now;
+    read_at = now;
     MarkPolled(now);
-    const Millis hold = waits ? kHold : Millis(0);
-    const Result<KeyedPage> page = co_await reader.Step(hold);
+    const Millis wait = is_store_reader ? kStoreReadWait : Millis(0);
+    const Result<KeyedPage> page = co_await reader.Step(wait);
     if (!page) {
       store_.OnBad(page.error().detail, kernel_->Now());
       co_await Sleep(store_.pause());
       continue;
     }
     store_.OnGood(kernel_->Now());
-    TakePage(*page);
+    ApplyPage(*page);
   }
 }
 
 auto Declarations::FollowPeers() -> asio::awaitable<void> {
-  const Json nothing = Json::object();
-  Millis level_at = kernel_->Now();  // when no peer was ahead
+  const Json no_params = Json::object();
+  Millis last_level = kernel_->Now();  // when last no peer was ahead
   while (true) {
     const auto [highest, peer] = scheduler_->node().HighestOffset();
     const Millis now = kernel_->Now();
     if (highest <= offset_)
-      level_at = now;
-    const bool store_had_its_time =
-        store_.lost() || now - level_at >= kStoreFirst;
-    if (highest > offset_ && store_had_its_time &&
+      last_level = now;
+    const bool store_time_over =
+        store_.lost() || now - last_level >= kStoreReadTime;
+    if (highest > offset_ && store_time_over &&
         peer != scheduler_->node().members().self()) {
-      const Result<Json> answer = co_await peers_->Call(peer, kMethod, nothing);
-      TakeAnswer(answer, "peer");
-      co_await Sleep(kPauseAfterPeer);
+      const Result<Json> answer =
+          co_await peers_->Call(peer, kPeerMethod, no_params);
+      ApplyPeerAnswer(answer, "peer");
+      co_await Sleep(kPeerRetryDelay);
     }
-    co_await kernel_->SleepToTick(kLook);
+    co_await kernel_->SleepToTick(kPollInterval);
   }
 }
 
-// A box that starts while the store turns it away asks the boxes that its
-// settings name, until it knows a configuration.
+// A box that starts while it can't reach the store asks the seed boxes of its
+// settings until it knows a configuration.
 auto Declarations::AskSeeds() -> asio::awaitable<void> {
-  const Json nothing = Json::object();
+  const Json no_params = Json::object();
   while (version_ == 0) {
-    co_await Sleep(kPauseAfterFailure);
+    co_await Sleep(kSeedRetryDelay);
     if (!store_.lost())
       continue;
     for (const std::string& seed : settings_.seeds) {
       if (version_ != 0 || seed == settings_.peer_rpc_address)
         continue;
       const Result<Json> answer =
-          co_await peers_->CallAt(seed, kMethod, nothing);
-      TakeAnswer(answer, "seed");
+          co_await peers_->CallAt(seed, kPeerMethod, no_params);
+      ApplyPeerAnswer(answer, "seed");
     }
   }
 }
--- a/sparbend/services/declarations.h
+++ b/sparbend/services/declarations.h
@@ -1,6 +1,6 @@
-// The service "config" where the platform keeps whole configurations and the
-// halls that are to be empty: follows them, keeps the newest in force, and
-// hands it to boxes that cannot read the store themselves.
+// The service "config" where the platform's store keeps full configurations and
+// the list of evacuated halls: follows both, keeps the newest configuration
+// active, and serves it to boxes that can't read the store themselves.
 #ifndef SPARBEND_SERVICES_DECLARATIONS_H_
 #define SPARBEND_SERVICES_DECLARATIONS_H_
 
@@ -34,31 +34,40 @@
 
  private:
   auto FollowStore() -> asio::awaitable<void>;
-  auto LookDue(Millis now) -> bool;
+  // Whether it is this box's turn to poll the store.
+  auto PollDue(Millis now) -> bool;
   void MarkPolled(Millis now);
-  auto Boxes() const -> size_t;
+  auto ListedBoxCount() const -> size_t;
   auto FollowPeers() -> asio::awaitable<void>;
+  // Asks the seeds of the settings for the first configuration.
   auto AskSeeds() -> asio::awaitable<void>;
-  void TakePage(const KeyedPage& page);
-  void Take(const std::string& document, const std::string& from);
-  // Puts in force what was read up to `offset`.
+  // Applies a page of the store's log.
+  void ApplyPage(const KeyedPage& page);
+  // Activates the configuration in `document` if it is newer; `from` is where
+  // it came from, for the log.
+  void ApplyDocument(const std::string& document, const std::string& from);
+  // Passes the evacuated halls and `offset`, up to which records are known now,
+  // to the scheduler. Nothing if neither has changed.
   void SetOffset(int64_t offset, bool halls_changed, const std::string& from);
-  void TakeAnswer(const Result<Json>& answer, const std::string& from);
-  auto Tell() const -> Json;
+  // Applies a peer's StateForPeers().
+  void ApplyPeerAnswer(const Result<Json>& answer, const std::string& from);
+  // This box's answer to peers.
+  auto StateForPeers() const -> Json;
 
   Kernel* kernel_;
   Settings settings_;
-  std::shared_ptr<DeclarationSource> feed_;
+  std::shared_ptr<DeclarationSource> source_;
   std::shared_ptr<Scheduler> scheduler_;
   std::shared_ptr<Peers> peers_;
   std::shared_ptr<Directory> directory_;
-  PollTimer looks_;
-  PollTimer rare_looks_;  // while others are heard to look
+  PollTimer poll_timer_;
+  // Used while store readers are known to reach the store.
+  PollTimer rare_poll_timer_;
   Dependency store_{"store-declarations"};
-  std::string document_;  // as read, for peers
+  std::string document_;  // the active configuration as it was read, for peers
   int64_t version_ = 0;
-  EvacuatedHalls halls_;
-  int64_t offset_ = 0;  // what operators wrote is known up to here
+  EvacuatedHalls evacuated_halls_;
+  int64_t offset_ = 0;  // records of operators are known up to here
   std::shared_ptr<const Catalog> catalog_ = std::make_shared<Catalog>();
 };
 
--- a/sparbend/services/directory.cc
+++ b/sparbend/services/directory.cc
@@ -1,16 +1,18 @@
-// Targets tell of themselves more than once a second each, so their log is
-// read on a clock, often enough that a leaving target gets no new work later
-// than it may; a call held open would wake for every sign of life, and calls
-// are paid for. For the same reason one box of a hall reads: every datagram
-// tells a digest of its sender's list and how long ago that was read, and a
-// box whose digest differs from the freshest one's asks that box for its list.
-// Boxes that hear of no fresh list read the store themselves, in turn
-// (PollTimer): the first to succeed spares the others, so a reader that dies or
-// is cut off costs a second at most, and an outage no storm of calls.
+// Each target writes its record more than once a second, so their log is
+// polled, often enough that a leaving target gets no new work later than it
+// may. A call that waits for new records would return for every heartbeat, and
+// each call has a cost. For the same reason only one box of a hall, its store
+// reader, polls the store. Every datagram has a digest of its sender's list and
+// the age of that list, and a box whose digest differs from that of the
+// freshest list requests that list from its sender. Boxes that know of no fresh
+// list poll the store themselves, in turn (PollTimer). After the first success
+// the others need not poll, so a store reader that crashes or is cut off costs
+// at most a second, and an outage causes no burst of calls.
 //
-// While the store does not answer, the list stands, or another box's younger
-// one is taken. Targets whose records are gone after an outage are kept for a
-// while (StoreAvailability), by all boxes until the same moment.
+// While the store does not answer, the list stays active or is replaced by a
+// fresher one of another box. Targets whose records are gone after an outage
+// are retained for a while (StoreAvailability); all boxes drop them at the same
+// time.
 #include "sparbend/services/directory.h"
 
 #include <algorithm>
@@ -25,35 +27,41 @@
 namespace sparbend {
 namespace {
 
-// A list read so long ago still spares reading the store, besides the time that
-// word of it takes.
-constexpr Millis kFresh = Millis(1'150);
-// A peer that takes longer to hand over its list is asked in vain; the rest of
-// the two seconds is left to the store.
-constexpr Millis kListCallTime = Millis(400);
-constexpr Millis kLook = Millis(50);
-// A list is read so long before nothing may be sent by it.
-constexpr Millis kReadBefore = Millis(400);
-// Boxes' records are read at the start, when all have written theirs, and
-// then on a slow clock: a box that starts later is heard of within seconds.
-constexpr Millis kBoxesFirst = Millis(1'000);
-constexpr Millis kBoxesRefresh = Millis(4'000);
-constexpr int kBoxesFirstReads = 2;
-// Who does not read for its hall hears of new boxes from its peers' lists, and
-// reads only when no list of theirs is fresh.
-constexpr Millis kBoxesRarely = Millis(20'000);
-constexpr Millis kPauseAfterFailure = Millis(250);
-constexpr Millis kPauseAfterUnwritten = Millis(1'000);
-// The store counts as away for this box after so long without an answer.
-constexpr Millis kStale = Millis(1'500);
-constexpr Millis kPeerLook = Millis(1'000);
-constexpr int64_t kMostProcessor = 1'000'000;  // thousandths of a core
-constexpr size_t kMaxBoxBytes = 64 * 1024;
-constexpr const char* kMethod = "directory";
+// Greatest age at which a list makes reading the store unnecessary, besides the
+// time that reports of it take.
+constexpr Millis kMaxFreshListAge = Millis(1'150);
+// A peer that takes longer to send its list counts as not answering; the rest
+// of the two seconds is left for reading the store.
+constexpr Millis kListCallTimeout = Millis(400);
+constexpr Millis kPollInterval = Millis(50);
+// The store is read this long before the list gets out of date, after which
+// nothing may be sent to the targets in it.
+constexpr Millis kListRenewalLead = Millis(400);
+// The records of boxes are read at the start, again once all boxes have written
+// theirs, and then at a longer interval, so that a box that starts later
+// becomes known within seconds.
+constexpr Millis kInitialBoxesReadInterval = Millis(1'000);
+constexpr Millis kBoxesReadInterval = Millis(4'000);
+constexpr int kInitialBoxesReads = 2;
+// A box that is not its hall's store reader gets new boxes from the lists of
+// peers. It reads the records itself only while no list is fresh, and then at
+// this interval.
+constexpr Millis kRareBoxesReadInterval = Millis(20'000);
+constexpr Millis kRetryDelay = Millis(250);
+constexpr Millis kWriteRetryDelay = Millis(1'000);
+// A list of at least this age is stale: the store counts as unavailable for
+// this box, which then asks peers.
+constexpr Millis kStaleListAge = Millis(1'500);
+constexpr Millis kPeerPollInterval = Millis(1'000);
+constexpr int64_t kMaxProcessorMillicores = 1'000'000;
+constexpr size_t kMaxBoxRecordBytes = 64 * 1024;
+// JSON-RPC method by which peers get the list.
+constexpr const char* kPeerMethod = "directory";
 
 auto ToJson(const TargetTable::Known& known, Millis now) -> Json {
   const TargetEntry& entry = known.entry;
-  // Never nothing while its own word says that it is cold: digests tell that.
+  // Never zero while the target's record says that it is cold, since that is a
+  // part of the digest.
   const bool cold = entry.cold_left > Millis(0);
   const Millis cold_left =
       cold ? std::max(Millis(1), known.cold_until - now) : Millis(0);
@@ -92,8 +100,8 @@
   entry.hall = reader.RequiredString("hall");
   entry.peer_address = reader.RequiredString("peers");
   entry.admin_address = reader.RequiredString("rpc");
-  entry.processor =
-      static_cast<int>(reader.Integer("processor", {0, kMostProcessor}, 0));
+  entry.processor = static_cast<int>(
+      reader.Integer("processor", {0, kMaxProcessorMillicores}, 0));
   const bool good = problems.empty() && ParseAddress(entry.peer_address) &&
                     ParseAddress(entry.admin_address);
   return good ? std::optional(entry) : std::nullopt;
@@ -106,7 +114,8 @@
               {"processor", box.processor}};
 }
 
-// Ages grow, and the record is to stay the same while nothing else changes.
+// Compares without the ages, which grow, so that the own record stays the same
+// while nothing else changes.
 auto SameRequests(const std::vector<Suspicion>& one,
                   const std::vector<Suspicion>& other) -> bool {
   return std::ranges::equal(one, other,
@@ -121,21 +130,22 @@
 Directory::Directory(Kernel* kernel, const Settings& settings)
     : kernel_(kernel),
       settings_(settings),
-      looks_(StableHash(settings.name + kStoreReaderRole)) {}
+      poll_timer_(StableHash(settings.name + kStoreReaderRole)) {}
 
 void Directory::Start() {
-  feed_ = kernel_->Find<DirectorySource>("directory-feed");
+  source_ = kernel_->Find<DirectorySource>("directory-feed");
   scheduler_ = kernel_->Find<Scheduler>("scheduler");
   peers_ = kernel_->Find<Peers>("peers");
   metrics_ = kernel_->Find<Metrics>("metrics");
   admin_ = kernel_->Find<Admin>("admin");
-  admin_->AddPeerMethod(kMethod,
-                        [this](const std::string&) { return Tell().dump(); });
-  scheduler_->SetOnKeptChanged(
-      [this] { kernel_->Spawn("directory-quarantine", KeepQuarantine()); });
+  admin_->AddPeerMethod(kPeerMethod, [this](const std::string&) {
+    return ListForPeers().dump();
+  });
+  scheduler_->SetOnPersistedRowsChanged(
+      [this] { kernel_->Spawn("directory-quarantine", PersistQuarantine()); });
   kernel_->Spawn("directory-targets", FollowTargets());
   kernel_->Spawn("directory-boxes", FollowBoxes());
-  kernel_->Spawn("directory-peers", FollowPeers());
+  kernel_->Spawn("directory-peers", AskPeersWhileStale());
 }
 
 auto Directory::OwnRecord() -> std::string {
@@ -145,45 +155,46 @@
   self.admin_address = admin_->peer_rpc_address();
   self.processor = settings_.processor;
   Json record = ToJson(self);
-  std::vector<Suspicion> kept =
+  std::vector<Suspicion> persisted_rows =
       scheduler_->node().quarantine().Kept(kernel_->Now());
-  if (!SameRequests(kept, kept_)) {
-    kept_json_ = QuarantineToJson(kept, WallClock());
-    kept_ = std::move(kept);
+  if (!SameRequests(persisted_rows, persisted_rows_)) {
+    persisted_rows_json_ = QuarantineToJson(persisted_rows, WallClock());
+    persisted_rows_ = std::move(persisted_rows);
   }
-  if (!kept_.empty())
-    record["quarantine"] = kept_json_;
+  if (!persisted_rows_.empty())
+    record["quarantine"] = persisted_rows_json_;
   return record.dump();
 }
 
-auto Directory::Age() const -> Millis {
-  return known_ ? kernel_->Now() - told_ : Millis(INT32_MAX);
+auto Directory::ListAge() const -> Millis {
+  return known_ ? kernel_->Now() - list_read_at_ : Millis(INT32_MAX);
 }
 
-auto Directory::Fresh() const -> Millis {
-  return kFresh + scheduler_->node().report_lag();
+auto Directory::MaxFreshAge() const -> Millis {
+  return kMaxFreshListAge + scheduler_->node().report_lag();
 }
 
-// Lists in the log which targets are kept though their records are gone.
-void Directory::NoteKept() {
-  std::map<std::string, Millis> kept_since;
-  Json kept = Json::array();
+// Logs the targets that are retained though their records are gone.
+void Directory::RecordRetained() {
+  std::map<std::string, Millis> retained_since;
+  Json retained = Json::array();
   bool changed = false;
-  for (const auto& [name, known] : book_.known()) {
+  for (const auto& [name, known] : targets_.known()) {
     if (!known.lapsed)
       continue;
-    const auto before = kept_since_.find(name);
-    const bool first = before == kept_since_.end();
+    const auto earlier = retained_since_.find(name);
+    const bool first = earlier == retained_since_.end();
     changed = changed || first;
-    kept_since[name] = first ? known_at_ : before->second;
-    kept.push_back(name);
+    retained_since[name] = first ? previous_list_read_at_ : earlier->second;
+    retained.push_back(name);
   }
-  kept_since_ = std::move(kept_since);
+  retained_since_ = std::move(retained_since);
   if (changed)
-    Log(LogLevel::kInfo, "targets-kept-without-record", {{"targets", kept}});
+    Log(LogLevel::kInfo, "targets-kept-without-record",
+        {{"targets", retained}});
 }
 
-// Lists in the log which targets get no more work from here on.
+// Logs the targets that get no more work from now on.
 void Directory::LogPublished(const MemberList& list) {
   std::set<std::string> usable;
   for (const TargetEntry& target : list.targets) {
@@ -197,9 +208,10 @@
     if (target.leaving || usable.contains(target.name))
       continue;
     withdrawn.push_back(target.name);
-    const auto kept = kept_since_.find(target.name);
-    const Millis last_known =
-        kept == kept_since_.end() ? known_at_ : kept->second;
+    const auto retained = retained_since_.find(target.name);
+    const Millis last_known = retained == retained_since_.end()
+                                  ? previous_list_read_at_
+                                  : retained->second;
     metrics_->withdrawal_seconds.Observe(
         static_cast<double>((now - last_known).count()) / 1'000);
   }
@@ -208,56 +220,57 @@
        {"targets", list.targets.size()},
        {"leaving", list.targets.size() - usable.size()},
        {"withdrawn", withdrawn},
-       {"list_before_ms_ago", (now - known_at_).count()},
+       {"list_before_ms_ago", (now - previous_list_read_at_).count()},
        {"boxes", list.boxes.size()},
-       {"read_to", end_}});
+       {"read_to", targets_end_}});
 }
 
 void Directory::Publish() {
   MemberList list;
   list.version = ++version_;
-  list.targets = book_.entries(kernel_->Now());
+  list.targets = targets_.entries(kernel_->Now());
   for (const auto& [name, box] : boxes_)
     list.boxes.push_back(box);
   LogPublished(list);
   scheduler_->SetList(list);
 }
 
-auto Directory::TakeTargets(const KeyedPage& page) -> bool {
+auto Directory::ApplyTargets(const KeyedPage& page) -> bool {
   const Millis now = kernel_->Now();
-  const bool doubtful = scheduler_->node().store_contact().RecordsMayLapse(now);
-  const Removal removal = doubtful ? Removal::kDoubtful : Removal::kFinal;
+  const bool uncertain =
+      scheduler_->node().store_contact().RecordsMayLapse(now);
+  const Removal removal = uncertain ? Removal::kDoubtful : Removal::kFinal;
   bool changed = false;
   std::set<std::string> names;
   for (const KeyedRecord& record : page.records) {
     if (!record.value) {
-      changed = book_.Drop(record.key, record.offset, removal) || changed;
+      changed = targets_.Drop(record.key, record.offset, removal) || changed;
       continue;
     }
     const Result<TargetEntry> entry =
-        feed_->decode_target(record.key, *record.value);
+        source_->decode_target(record.key, *record.value);
     if (entry) {
       names.insert(record.key);
-      changed = book_.Put(*entry, record.offset, now) || changed;
+      changed = targets_.Put(*entry, record.offset, now) || changed;
       continue;
     }
-    // Others may write there too; what they write names no target to use.
-    const bool ended = book_.Refute(record.key, record.offset);
-    changed = ended || changed;
+    // Other writers can put records there too, which describe no usable target.
+    const bool removed = targets_.Refute(record.key, record.offset);
+    changed = removed || changed;
     Log(LogLevel::kError, "target-unreadable",
         {{"target", record.key},
-         {"ended", ended},
+         {"ended", removed},
          {"why", entry.error().detail}});
   }
   if (page.whole)
-    changed = book_.Retain(names, page.next, removal) || changed;
-  end_ = std::max(end_, page.next);
+    changed = targets_.Retain(names, page.next, removal) || changed;
+  targets_end_ = std::max(targets_end_, page.next);
   return changed;
 }
 
-auto Directory::FindDigest() const -> uint32_t {
+auto Directory::ComputeDigest() const -> uint32_t {
   std::string text;
-  for (const auto& [name, known] : book_.known()) {
+  for (const auto& [name, known] : targets_.known()) {
     text += name;
     text += known.entry.leaving ? "-" : "+";
     text += std::to_string(known.entry.started_at_ms);
@@ -270,13 +283,13 @@
 
 auto Directory::Digest() const -> uint32_t {
   if (!digest_)
-    digest_ = FindDigest();
+    digest_ = ComputeDigest();
   return *digest_;
 }
 
-void Directory::SetTold(Millis told) {
-  known_at_ = std::exchange(told_, told);
-  scheduler_->node().SetDirectory(Digest(), told);
+void Directory::SetListReadAt(Millis read_at) {
+  previous_list_read_at_ = std::exchange(list_read_at_, read_at);
+  scheduler_->node().SetDirectory(Digest(), read_at);
 }
 
 auto Directory::ReadTargets(KeyedLogReader* reader) -> asio::awaitable<void> {
@@ -291,94 +304,100 @@
   }
   store_.OnGood(now);
   scheduler_->node().OnStoreAnswered(now);
-  bool changed = TakeTargets(*page) || !known_;
+  bool changed = ApplyTargets(*page) || !known_;
   if (!scheduler_->node().store_contact().RecordsMayLapse(now))
-    changed = book_.EndLapsed() || changed;
+    changed = targets_.EndLapsed() || changed;
   known_ = true;
   digest_.reset();
-  SetTold(now);
+  SetListReadAt(now);
   if (changed)
     Publish();
-  NoteKept();
+  RecordRetained();
 }
 
-// What was doubtful when it was read need be so no longer, since a peer was
-// heard that reached the store all the while.
-void Directory::EndLapsed() {
-  if (scheduler_->node().store_contact().RecordsMayLapse(told_) ||
-      !book_.EndLapsed())
+// A record whose removal was uncertain when the list was read may be known to
+// be gone since then, after a report of a peer that reached the store all the
+// time.
+void Directory::RemoveLapsed() {
+  if (scheduler_->node().store_contact().RecordsMayLapse(list_read_at_) ||
+      !targets_.EndLapsed())
     return;
   digest_.reset();
-  SetTold(told_);
+  SetListReadAt(list_read_at_);
   Publish();
-  NoteKept();
+  RecordRetained();
 }
 
-// Takes the freshest list among the peers'.
-auto Directory::FollowPeer() -> asio::awaitable<PeerListCheck> {
+auto Directory::CheckPeerLists() -> asio::awaitable<PeerListCheck> {
   const Millis now = kernel_->Now();
-  const auto freshest = scheduler_->node().FreshestDirectory(Fresh(), now);
-  if (!known_ || !freshest || now - freshest->read_at > Fresh())
+  const auto freshest =
+      scheduler_->node().FreshestDirectory(MaxFreshAge(), now);
+  if (!known_ || !freshest || now - freshest->read_at > MaxFreshAge())
     co_return PeerListCheck::kNothing;
   if (freshest->digest == Digest()) {
-    if (freshest->read_at > told_)
-      SetTold(freshest->read_at);
+    if (freshest->read_at > list_read_at_)
+      SetListReadAt(freshest->read_at);
     co_return PeerListCheck::kSpared;
   }
-  // Ours is younger, or is that one.
-  if (freshest->read_at <= std::max(told_, asked_for_ + kLook))
+  // This box's list is at least as fresh, or the peer's was got before.
+  if (freshest->read_at <=
+      std::max(list_read_at_, requested_list_read_at_ + kPollInterval))
     co_return PeerListCheck::kSpared;
-  const Json nothing = Json::object();
-  const Result<Json> answer =
-      co_await peers_->Call(freshest->box, kMethod, nothing, kListCallTime);
-  TakeAnswer(answer, now, "peer");
+  const Json no_params = Json::object();
+  const Result<Json> answer = co_await peers_->Call(
+      freshest->box, kPeerMethod, no_params, kListCallTimeout);
+  ApplyPeerAnswer(answer, now, "peer");
   if (answer)
-    asked_for_ = freshest->read_at;
-  co_await Sleep(kLook);  // a list that was not taken is not asked for at once
+    requested_list_read_at_ = freshest->read_at;
+  // A list that was not applied must not be requested again at once.
+  co_await Sleep(kPollInterval);
   co_return answer ? PeerListCheck::kSpared : PeerListCheck::kFailed;
 }
 
 auto Directory::FollowTargets() -> asio::awaitable<void> {
-  KeyedLogReader reader(feed_->targets);
+  KeyedLogReader reader(source_->targets);
   Millis read_at;
   while (true) {
-    EndLapsed();
+    RemoveLapsed();
     const Millis now = kernel_->Now();
-    const bool duty = scheduler_->node().IsStoreReader(now);
-    PeerListCheck look = PeerListCheck::kNothing;
-    if (!duty)
-      look = co_await FollowPeer();
-    // Nobody's turn came in time: what this box sends would soon be refused.
-    if (look == PeerListCheck::kNothing &&
-        scheduler_->node().ListOutOfDate(now + kReadBefore))
-      look = PeerListCheck::kFailed;
-    if (!ReadNow({known_, duty, store_.lost(), look, now - read_at,
-                  looks_.Due(now)})) {
-      // A box whose turn came while it was spared would read at once when words
-      // stop, and all others of its hall with it.
-      if (look == PeerListCheck::kSpared && looks_.Due(now))
-        looks_.MarkPolled(scheduler_->node().members().list().boxes.size(),
-                          now);
-      co_await kernel_->SleepToTick(kLook);
+    const bool is_store_reader = scheduler_->node().IsStoreReader(now);
+    PeerListCheck peer_check = PeerListCheck::kNothing;
+    if (!is_store_reader)
+      peer_check = co_await CheckPeerLists();
+    // No box polled the store in time, and soon this box could send no
+    // requests.
+    if (peer_check == PeerListCheck::kNothing &&
+        scheduler_->node().ListOutOfDate(now + kListRenewalLead))
+      peer_check = PeerListCheck::kFailed;
+    if (!ReadNow({known_, is_store_reader, store_.lost(), peer_check,
+                  now - read_at, poll_timer_.Due(now)})) {
+      // A poll that came due while a peer's list was fresh is put off.
+      // Otherwise this box and all others of its hall would read at once when
+      // reports stop.
+      if (peer_check == PeerListCheck::kSpared && poll_timer_.Due(now))
+        poll_timer_.MarkPolled(scheduler_->node().members().list().boxes.size(),
+                               now);
+      co_await kernel_->SleepToTick(kPollInterval);
       continue;
     }
     read_at = now;
-    looks_.MarkPolled(scheduler_->node().members().list().boxes.size(), now);
+    poll_timer_.MarkPolled(scheduler_->node().members().list().boxes.size(),
+                           now);
     co_await ReadTargets(&reader);
   }
 }
 
-auto Directory::TakeBoxes(const KeyedPage& page) -> bool {
+auto Directory::ApplyBoxes(const KeyedPage& page) -> bool {
   digest_.reset();
   bool changed = false;
   for (const KeyedRecord& record : page.records) {
     if (record.key == settings_.name)
-      written_ = record.value.value_or("");
+      stored_record_ = record.value.value_or("");
     if (!record.value) {
       changed = boxes_.erase(record.key) > 0 || changed;
       continue;
     }
-    const Result<Json> json = ParseJson(*record.value, kMaxBoxBytes);
+    const Result<Json> json = ParseJson(*record.value, kMaxBoxRecordBytes);
     const std::optional<BoxEntry> entry =
         json ? BoxFrom(record.key, *json) : std::nullopt;
     if (!entry) {
@@ -395,28 +414,28 @@
 
 auto Directory::WriteOwnRecord() -> asio::awaitable<bool> {
   const std::string record = OwnRecord();
-  if (written_ == record)
+  if (stored_record_ == record)
     co_return true;
   const Result<int64_t> written =
-      co_await feed_->boxes.write(settings_.name, record);
+      co_await source_->boxes.write(settings_.name, record);
   if (written)
-    written_ = record;
+    stored_record_ = record;
   else
     Log(LogLevel::kWarning, "own-record-unwritten",
         {{"why", written.error().detail}});
   co_return written.has_value();
 }
 
-auto Directory::KeepQuarantine() -> asio::awaitable<void> {
-  if (std::exchange(keeping_, true))
+auto Directory::PersistQuarantine() -> asio::awaitable<void> {
+  if (std::exchange(persisting_, true))
     co_return;
-  // What changes while it is written is written after.
-  while (written_ != OwnRecord()) {
+  // A change during a write is written by the next one.
+  while (stored_record_ != OwnRecord()) {
     const bool written = co_await WriteOwnRecord();
     if (!written)
-      co_await Sleep(kPauseAfterUnwritten);
+      co_await Sleep(kWriteRetryDelay);
   }
-  keeping_ = false;
+  persisting_ = false;
 }
 
 void Directory::RestoreQuarantine(const std::string& box, const Json& record) {
@@ -429,59 +448,62 @@
 }
 
 auto Directory::FollowBoxes() -> asio::awaitable<void> {
-  KeyedLogReader reader(feed_->boxes);
+  KeyedLogReader reader(source_->boxes);
   int reads = 0;
   Millis read_at;
   while (true) {
     const Millis now = kernel_->Now();
-    const bool duty = scheduler_->node().IsStoreReader(now);
-    const bool spared = fresh() || now - read_at < kBoxesRarely;
-    if (reads >= kBoxesFirstReads && !duty && spared) {
-      co_await Sleep(kBoxesRefresh);
+    const bool is_store_reader = scheduler_->node().IsStoreReader(now);
+    const bool up_to_date =
+        has_fresh_list() || now - read_at < kRareBoxesReadInterval;
+    if (reads >= kInitialBoxesReads && !is_store_reader && up_to_date) {
+      co_await Sleep(kBoxesReadInterval);
       continue;
     }
     read_at = now;
     const Result<KeyedPage> page = co_await reader.Step(Millis(0));
     if (!page) {
-      co_await Sleep(kPauseAfterFailure);
+      co_await Sleep(kRetryDelay);
       continue;
     }
-    if (TakeBoxes(*page) && known_)
+    if (ApplyBoxes(*page) && known_)
       Publish();
     co_await WriteOwnRecord();
-    co_await Sleep(++reads < kBoxesFirstReads ? kBoxesFirst : kBoxesRefresh);
+    co_await Sleep(++reads < kInitialBoxesReads ? kInitialBoxesReadInterval
+                                                : kBoxesReadInterval);
   }
 }
 
-auto Directory::Tell() const -> Json {
+auto Directory::ListForPeers() const -> Json {
   const Millis now = kernel_->Now();
   Json targets = Json::array();
-  for (const auto& [name, known] : book_.known())
+  for (const auto& [name, known] : targets_.known())
     targets.push_back(ToJson(known, now));
   Json boxes = Json::object();
   for (const auto& [name, box] : boxes_)
     boxes[name] = ToJson(box);
   return Json{{"known", known_},
-              {"age_ms", Age().count()},
-              {"end", end_},
+              {"age_ms", ListAge().count()},
+              {"end", targets_end_},
               {"targets", targets},
               {"boxes", boxes}};
 }
 
-// Ages are counted from the call: a busy box reads the answer later than it was
-// made, and must not take the list for younger than it is.
-void Directory::TakeAnswer(const Result<Json>& answer,
-                           Millis asked,
-                           const std::string& from) {
+// The age in the answer is counted from the time of the call: a busy box reads
+// the answer some time after it was composed, and must not take the list for
+// fresher than it is.
+void Directory::ApplyPeerAnswer(const Result<Json>& answer,
+                                Millis asked,
+                                const std::string& from) {
   if (!answer)
-    return;  // the next look asks again
+    return;  // the next poll asks again
   std::vector<Problem> problems;
-  FieldReader reader(*answer, kMethod, &problems);
+  FieldReader reader(*answer, kPeerMethod, &problems);
   const Millis age = Millis(reader.Integer("age_ms", {0, INT64_MAX}, 0));
   const int64_t end = reader.Integer("end", {0, INT64_MAX}, 0);
   const Millis read_at = asked - age;
-  if (!reader.Bool("known", false) || (known_ && read_at <= told_) ||
-      end < end_)
+  if (!reader.Bool("known", false) || (known_ && read_at <= list_read_at_) ||
+      end < targets_end_)
     return;
   const Millis now = kernel_->Now();
   bool changed = !known_;
@@ -492,11 +514,11 @@
     if (!entry)
       continue;
     names.insert(entry->name);
-    changed = book_.Put(*entry, offset, now) || changed;
+    changed = targets_.Put(*entry, offset, now) || changed;
     if (FieldReader(*json, "target", &problems).Bool("lapsed", false))
-      book_.SetLapsed(entry->name, offset);
+      targets_.SetLapsed(entry->name, offset);
   }
-  changed = book_.RetainTold(names, end) || changed;
+  changed = targets_.RetainTold(names, end) || changed;
   if (const Json* boxes = reader.Object("boxes"); boxes != nullptr) {
     for (const auto& [name, json] : boxes->items()) {
       const auto entry = BoxFrom(name, json);
@@ -507,9 +529,9 @@
     }
   }
   known_ = true;
-  end_ = end;
+  targets_end_ = end;
   digest_.reset();
-  SetTold(read_at);
+  SetListReadAt(read_at);
   if (!changed)
     return;
   Log(LogLevel::kInfo, "directory-from-peer",
@@ -517,27 +539,28 @@
   Publish();
 }
 
-auto Directory::FollowPeers() -> asio::awaitable<void> {
-  const Json nothing = Json::object();
-  size_t turn = 0;
+auto Directory::AskPeersWhileStale() -> asio::awaitable<void> {
+  const Json no_params = Json::object();
+  size_t next_peer = 0;
   while (true) {
-    co_await Sleep(known_ ? kPeerLook : kPauseAfterFailure);
-    if (Age() < kStale)
+    co_await Sleep(known_ ? kPeerPollInterval : kRetryDelay);
+    if (ListAge() < kStaleListAge)
       continue;
     const Millis asked = kernel_->Now();
     const std::vector<BoxId> live = peers_->Live();
     if (!live.empty()) {
-      const BoxId peer = live[turn++ % live.size()];
-      const Result<Json> answer = co_await peers_->Call(peer, kMethod, nothing);
-      TakeAnswer(answer, asked, "peer");
+      const BoxId peer = live[next_peer++ % live.size()];
+      const Result<Json> answer =
+          co_await peers_->Call(peer, kPeerMethod, no_params);
+      ApplyPeerAnswer(answer, asked, "peer");
     } else if (!settings_.seeds.empty() && store_.lost()) {
       const std::string& seed =
-          settings_.seeds[turn++ % settings_.seeds.size()];
+          settings_.seeds[next_peer++ % settings_.seeds.size()];
       if (seed == settings_.peer_rpc_address)
         continue;
       const Result<Json> answer =
-          co_await peers_->CallAt(seed, kMethod, nothing);
-      TakeAnswer(answer, asked, "seed");
+          co_await peers_->CallAt(seed, kPeerMethod, no_params);
+      ApplyPeerAnswer(answer, asked, "seed");
     }
   }
 }
--- a/sparbend/services/directory.h
+++ b/sparbend/services/directory.h
@@ -1,6 +1,7 @@
-// The service "directory": which targets and which boxes there are, followed
-// in the platform's store, or asked of other boxes while this one cannot read
-// it. Writes this box's own record.
+// The service "directory": maintains the list of targets and boxes, from the
+// platform's store or, while this box can't or need not read the store, from
+// other boxes, and passes it to the scheduler. Also writes this box's own
+// record to the store.
 #ifndef SPARBEND_SERVICES_DIRECTORY_H_
 #define SPARBEND_SERVICES_DIRECTORY_H_
 
@@ -30,68 +31,83 @@
 
   void Start() override;
 
-  // Whether the targets were read at least once.
+  // Whether a list of targets was read at least once.
   auto known() const -> bool { return known_; }
-  // Whether some box that reads for its hall was heard to have read the store
-  // lately: news of the store comes by peers then.
-  auto fresh() const -> bool { return Age() <= Fresh(); }
+  // Whether the list is fresh, read from the store a short time ago by this box
+  // or by the store reader of some hall. Changes in the store are then known
+  // through peers.
+  auto has_fresh_list() const -> bool { return ListAge() <= MaxFreshAge(); }
 
  private:
   auto FollowTargets() -> asio::awaitable<void>;
   auto ReadTargets(KeyedLogReader* reader) -> asio::awaitable<void>;
-  auto FollowPeer() -> asio::awaitable<PeerListCheck>;
-  // Of the names of all targets and boxes, and of each target which life it is
-  // in, whether it leaves and whether it is cold.
+  // Applies the freshest of the peers' lists if it differs from this box's.
+  auto CheckPeerLists() -> asio::awaitable<PeerListCheck>;
+  // Digest: hash of the names of all targets and boxes, and of each target's
+  // start time, and whether it is leaving and whether it is cold.
   auto Digest() const -> uint32_t;
-  auto FindDigest() const -> uint32_t;
-  void SetTold(Millis told);
+  auto ComputeDigest() const -> uint32_t;
+  // Sets when the list was read from the store, and reports it to peers.
+  void SetListReadAt(Millis read_at);
   auto FollowBoxes() -> asio::awaitable<void>;
-  auto FollowPeers() -> asio::awaitable<void>;
-  // Whether the store has it as it is now.
+  // Asks peers, or else seeds, one after another while the list is stale.
+  auto AskPeersWhileStale() -> asio::awaitable<void>;
+  // Writes the own record if it has changed; whether the store has it now.
   auto WriteOwnRecord() -> asio::awaitable<bool>;
-  // Writes it until the store has it: what is held back is not to be forgotten
-  // when all boxes lose power.
-  auto KeepQuarantine() -> asio::awaitable<void>;
+  // Writes the own record until the store has it, so that blocked requests are
+  // not forgotten when all boxes lose power.
+  auto PersistQuarantine() -> asio::awaitable<void>;
+  // Merges the blocked requests in the record of `box`.
   void RestoreQuarantine(const std::string& box, const Json& record);
-  auto TakeTargets(const KeyedPage& page) -> bool;
-  auto TakeBoxes(const KeyedPage& page) -> bool;
-  void TakeAnswer(const Result<Json>& answer,
-                  Millis asked,
-                  const std::string& from);
-  auto Tell() const -> Json;
-  auto Age() const -> Millis;
-  // A list read so long ago spares reading the store.
-  auto Fresh() const -> Millis;
+  // Apply a page of the targets' or the boxes' log; true if the list changed.
+  auto ApplyTargets(const KeyedPage& page) -> bool;
+  auto ApplyBoxes(const KeyedPage& page) -> bool;
+  // Applies the list in a peer's answer to a call made at `asked`; `from` is
+  // where it came from, for the log.
+  void ApplyPeerAnswer(const Result<Json>& answer,
+                       Millis asked,
+                       const std::string& from);
+  // This box's list, for peers.
+  auto ListForPeers() const -> Json;
+  // Time since the list was read from the store.
+  auto ListAge() const -> Millis;
+  // Greatest age at which a list makes reading the store unnecessary.
+  auto MaxFreshAge() const -> Millis;
   auto OwnRecord() -> std::string;
+  // Passes the list to the scheduler.
   void Publish();
   void LogPublished(const MemberList& list);
-  void NoteKept();
-  void EndLapsed();
+  void RecordRetained();
+  // Removes the targets whose records are gone and did not come back.
+  void RemoveLapsed();
 
   Kernel* kernel_;
   Settings settings_;
-  std::shared_ptr<DirectorySource> feed_;
+  std::shared_ptr<DirectorySource> source_;
   std::shared_ptr<Scheduler> scheduler_;
   std::shared_ptr<Peers> peers_;
   std::shared_ptr<Admin> admin_;
   std::shared_ptr<Metrics> metrics_;
   Dependency store_{"store-directory"};
-  PollTimer looks_;  // where no other box's list is fresh
-  TargetTable book_;
+  PollTimer poll_timer_;  // used while no peer has a fresh list
+  TargetTable targets_;
   std::map<std::string, BoxEntry> boxes_;
-  std::string written_;  // own record as the store has it
-  // Of that record, with the time of day that it was made at.
-  std::vector<Suspicion> kept_;
-  Json kept_json_;
-  bool keeping_ = false;  // it is being written
-  int64_t end_ = 0;       // the targets' log was read up to here
-  Millis told_;           // when the targets were last heard of, either way
-  Millis known_at_;       // the same of the list before
-  Millis asked_for_;      // when the list last asked for was read, as heard
-  // Targets whose record is gone, and when they were last known to have one.
-  std::map<std::string, Millis> kept_since_;
+  std::string stored_record_;  // own record as the store has it
+  // The blocked requests in the own record, and their JSON, which has
+  // wall-clock times from when it was made.
+  std::vector<Suspicion> persisted_rows_;
+  Json persisted_rows_json_;
+  bool persisting_ = false;  // PersistQuarantine() is active
+  int64_t targets_end_ = 0;  // offset up to which the targets' log was read
+  Millis list_read_at_;  // when this list was read from the store, by any box
+  Millis previous_list_read_at_;   // the same of the previous list
+  Millis requested_list_read_at_;  // the same of the list last got from a peer
+  // Retained targets whose records are gone, and when the last list in which
+  // they had one was read.
+  std::map<std::string, Millis> retained_since_;
   int64_t version_ = 0;
-  mutable std::optional<uint32_t> digest_;  // nothing after a change
+  // Cached digest of the list; nothing after a change.
+  mutable std::optional<uint32_t> digest_;
   bool known_ = false;
 };
 
--- a/sparbend/services/scheduler.cc
+++ b/sparbend/services/scheduler.cc
@@ -1,6 +1,6 @@
-// Inputs only mark that there is something to decide (Poke); one pass of
-// RunNode then decides for all of them together. The timer runs it when
-// nothing else does.
+// Inputs only schedule a run of the node (ScheduleRun). One RunNode() then
+// makes the decisions for all inputs that arrived until then. Without inputs
+// the timer (Tick) runs the node.
 #include "sparbend/services/scheduler.h"
 
 #include <cstring>
@@ -12,15 +12,15 @@
 namespace sparbend {
 namespace {
 
-constexpr int kCallerLeft = 499;
-// A fleet's sum comes twice a second at least; one older than this tells that
-// none comes.
-constexpr Millis kSumStale = Millis(1'500);
-// A datagram that is refused is logged this often at most: a box of another
-// version sends many.
-constexpr Millis kRefusedLogInterval = Millis(5'000);
-// As often as Overload wants to be told.
-constexpr Millis kLoadInterval = Millis(45);
+constexpr int kClientLeftStatus = 499;
+// The fleet aggregate arrives at least twice a second, so if it is older than
+// this, none arrives any more.
+constexpr Millis kStaleAggregateAge = Millis(1'500);
+// Minimum time between two log lines about refused datagrams, since a box of
+// another version sends many.
+constexpr Millis kMinRefusalLogInterval = Millis(5'000);
+// Overload expects an update about every 50 ms.
+constexpr Millis kOverloadUpdateInterval = Millis(45);
 
 auto ThreadCpuMicros() -> int64_t {
   timespec now{};
@@ -51,7 +51,7 @@
       node_(OptionsFrom(settings, incarnation)),
       address_(settings.peer_address),
       socket_(kernel->io()),
-      tick_(kernel->io()),
+      timer_(kernel->io()),
       loop_delay_(uint64_t{std::random_device()()} << 32) {
   const tcp::endpoint endpoint = *ParseAddress(address_);
   socket_.open(endpoint.address().is_v6() ? asio::ip::udp::v6()
@@ -74,10 +74,10 @@
 void Scheduler::Stop() {
   boost::system::error_code ignored;
   socket_.close(ignored);
-  tick_.cancel();
+  timer_.cancel();
 }
 
-// A probe is told by its number, which is too short for a peer's datagram.
+// A probe consists of its number, which is shorter than any datagram of a peer.
 auto Scheduler::IsOwnProbe(std::string_view datagram) -> bool {
   uint64_t probe = 0;
   if (datagram.size() != sizeof(probe))
@@ -98,59 +98,60 @@
       continue;
     if (IsOwnProbe({buffer.data(), size}))
       continue;
-    const int64_t before = ThreadCpuMicros();
+    const int64_t cpu_us_before = ThreadCpuMicros();
     const Millis now = kernel_->Now();
-    const std::error_code refused =
+    const std::error_code refusal =
         node_.OnDatagram({buffer.data(), size}, now, loop_delay_.Latest(now));
     metrics_->control_cpu_us.Increment(
-        static_cast<double>(ThreadCpuMicros() - before));
-    if (refused)
-      OnRefused(refused, from);
+        static_cast<double>(ThreadCpuMicros() - cpu_us_before));
+    if (refusal)
+      OnDatagramRefused(refusal, from);
     else
-      Poke();
+      ScheduleRun();
   }
 }
 
-void Scheduler::OnRefused(const std::error_code& why,
-                          const asio::ip::udp::endpoint& from) {
+void Scheduler::OnDatagramRefused(const std::error_code& why,
+                                  const asio::ip::udp::endpoint& from) {
   metrics_->peer_datagrams_refused.Increment();
   const Millis now = kernel_->Now();
-  // Late and repeated ones are usual.
-  if (why == Errc::kRefused || now - refused_logged_ < kRefusedLogInterval)
+  // Late and repeated datagrams (kRefused) are normal.
+  if (why == Errc::kRefused ||
+      now - refusal_logged_at_ < kMinRefusalLogInterval)
     return;
-  refused_logged_ = now;
+  refusal_logged_at_ = now;
   Log(LogLevel::kWarning, "datagram-refused",
       {{"from", FormatAddress({from.address(), from.port()})},
        {"why", why.message()}});
 }
 
-void Scheduler::NoteSumAge(Millis now) {
+void Scheduler::UpdateAggregateAge(Millis now) {
   const Millis age = node_.aggregate_age(now);
   metrics_->fleet_sum_age.Set(static_cast<double>(age.count()) / 1'000);
-  const bool stale = age >= kSumStale;
-  if (stale == sum_stale_)
+  const bool stale = age >= kStaleAggregateAge;
+  if (stale == aggregate_stale_)
     return;
-  sum_stale_ = stale;
+  aggregate_stale_ = stale;
   Log(LogLevel::kWarning, stale ? "fleet-sum-lost" : "fleet-sum-regained",
       {{"age_ms", age.count()}, {"boxes", node_.live_boxes()}});
 }
 
-// At a tick, unless something is due before that.
-auto Scheduler::WakeAfter(Millis now) const -> Millis {
+// The next tick of the kernel, unless the node must run earlier.
+auto Scheduler::NextTimerTime(Millis now) const -> Millis {
   return std::min(node_.NextWake(now), kernel_->TickFrom(now + Millis(1)));
 }
 
 auto Scheduler::Tick() -> asio::awaitable<void> {
   while (socket_.is_open()) {
     const Millis now = kernel_->Now();
-    const Millis span = WakeAfter(now) - now;
-    tick_.expires_after(std::chrono::milliseconds(span.count()));
-    const auto [error] = co_await tick_.async_wait(kAwait);
+    const Millis delay = NextTimerTime(now) - now;
+    timer_.expires_after(std::chrono::milliseconds(delay.count()));
+    const auto [error] = co_await timer_.async_wait(kAwait);
     if (!socket_.is_open())
       co_return;
-    NoteLoad();
-    NoteSumAge(kernel_->Now());
-    NoteBackoff(kernel_->Now());
+    UpdateOverload();
+    UpdateAggregateAge(kernel_->Now());
+    RecordEndedBackoffs(kernel_->Now());
     metrics_->quarantined.Set(static_cast<double>(
         node_.quarantine().ListBlocked(kernel_->Now()).size()));
     if (!error)
@@ -160,41 +161,41 @@
   }
 }
 
-void Scheduler::NoteLoad() {
+void Scheduler::UpdateOverload() {
   const Millis now = kernel_->Now();
-  if (now - load_noted_ < kLoadInterval)
+  if (now - overload_updated_at_ < kOverloadUpdateInterval)
     return;
-  load_noted_ = now;
+  overload_updated_at_ = now;
   if (const std::optional<uint64_t> probe = loop_delay_.Next(now)) {
-    boost::system::error_code ignored;  // one lost is sent again
+    boost::system::error_code ignored;  // a lost probe is sent again
     socket_.send_to(asio::buffer(&*probe, sizeof(*probe)),
                     socket_.local_endpoint(ignored), 0, ignored);
   }
-  const bool before = overload_.busy();
+  const bool was_busy = overload_.busy();
   overload_.OnTick(loop_delay_.Latest(now), now);
-  if (overload_.busy() != before)
-    Log(LogLevel::kWarning, before ? "overload-over" : "overloaded",
+  if (overload_.busy() != was_busy)
+    Log(LogLevel::kWarning, was_busy ? "overload-over" : "overloaded",
         {{"lag_ms", overload_.mean_delay().count()},
          {"queued", node_.ingress_scheduler().queues().total()},
          {"in_flight", node_.ingress_scheduler().in_flight()}});
 }
 
-void Scheduler::Poke() {
-  if (poked_)
+void Scheduler::ScheduleRun() {
+  if (run_scheduled_)
     return;
-  poked_ = true;
+  run_scheduled_ = true;
   asio::post(kernel_->io(), [this] { RunNode(); });
 }
 
 void Scheduler::RunNode() {
-  poked_ = false;
-  const int64_t before = ThreadCpuMicros();
+  run_scheduled_ = false;
+  const int64_t cpu_us_before = ThreadCpuMicros();
   const Millis now = kernel_->Now();
-  const Millis wake_before = node_.NextWake(now);
+  const Millis previous_wake = node_.NextWake(now);
   Effects effects = node_.Run(now);
   for (const Effects::Outgoing& outgoing : effects.datagrams) {
-    const auto address = addresses_.find(outgoing.to);
-    if (address == addresses_.end())
+    const auto address = peer_endpoints_.find(outgoing.to);
+    if (address == peer_endpoints_.end())
       continue;
     boost::system::error_code ignored;
     socket_.send_to(asio::buffer(outgoing.bytes), address->second, 0, ignored);
@@ -202,23 +203,23 @@
     metrics_->peer_bytes_sent.Increment(
         static_cast<double>(outgoing.bytes.size() + kHeaderBytes));
   }
-  NoteQuarantine(now);
+  HandleQuarantineChanges(now);
   for (const auto& [id, refusal] : effects.refusals)
-    Settle(id, refusal);
+    Complete(id, refusal);
   for (const Dispatch& dispatch : effects.dispatches)
-    Settle(dispatch.request, SlotFor(dispatch));
-  if (node_.NextWake(now) < wake_before)
-    tick_.cancel();
+    Complete(dispatch.request, MakeSlot(dispatch));
+  if (node_.NextWake(now) < previous_wake)
+    timer_.cancel();
   metrics_->queued.Set(
       static_cast<double>(node_.ingress_scheduler().queues().total()));
   metrics_->live_boxes.Set(static_cast<double>(node_.live_boxes()));
   metrics_->in_flight.Set(
       static_cast<double>(node_.ingress_scheduler().in_flight()));
   metrics_->control_cpu_us.Increment(
-      static_cast<double>(ThreadCpuMicros() - before));
+      static_cast<double>(ThreadCpuMicros() - cpu_us_before));
 }
 
-auto Scheduler::SourceOf(const Choice& choice) const
+auto Scheduler::TransferSourceOf(const Choice& choice) const
     -> std::optional<tcp::endpoint> {
   const TargetEntry* source = node_.FindTarget(choice.fetch_from);
   if (source == nullptr)
@@ -227,23 +228,26 @@
   return address ? std::optional(*address) : std::nullopt;
 }
 
-auto Scheduler::SlotFor(const Dispatch& dispatch) -> SlotOrRefusal {
+auto Scheduler::MakeSlot(const Dispatch& dispatch) -> SlotOrRefusal {
   const TargetEntry* entry = node_.FindTarget(dispatch.target);
   if (entry != nullptr) {
     if (const auto address = ParseAddress(entry->address))
-      return Slot{
-          dispatch.target,           entry->name,    entry->hall, *address,
-          SourceOf(dispatch.choice), dispatch.choice};
+      return Slot{dispatch.target,
+                  entry->name,
+                  entry->hall,
+                  *address,
+                  TransferSourceOf(dispatch.choice),
+                  dispatch.choice};
   }
   node_.ingress_scheduler().Finish(dispatch.request, 0);
-  return Refusal{503, Verdict::kNotRun, "the target left the list",
+  return Refusal{503, Verdict::kNotRun, "the chosen target is no longer listed",
                  Millis(1'000)};
 }
 
-void Scheduler::Settle(RequestId id, SlotOrRefusal outcome) {
+void Scheduler::Complete(RequestId id, SlotOrRefusal outcome) {
   const auto found = waiters_.find(id);
   if (found == waiters_.end()) {
-    // Nobody waits any more: the slot goes back unused.
+    // The request does not wait any more: the slot is returned unused.
     node_.ingress_scheduler().Finish(id, 0);
     return;
   }
@@ -255,7 +259,7 @@
   const auto waiter = std::make_shared<Waiter>(kernel_->io());
   waiter->since = kernel_->Now();
   waiters_[id] = waiter;
-  Poke();
+  ScheduleRun();
   waiter->timer.expires_at(asio::steady_timer::time_point::max());
   while (!waiter->outcome)
     co_await waiter->timer.async_wait(kAwait);
@@ -271,7 +275,7 @@
   if (const std::optional<Dispatch> dispatch =
           node_.ingress_scheduler().TryStart(request, kernel_->Now())) {
     metrics_->queue_seconds.Observe(0);
-    co_return SlotFor(*dispatch);
+    co_return MakeSlot(*dispatch);
   }
   if (const std::optional<Refusal> refusal = node_.Enqueue(request))
     co_return *refusal;
@@ -286,8 +290,8 @@
 
 void Scheduler::Abandon(RequestId id) {
   if (node_.ingress_scheduler().Cancel(id))
-    Settle(id, Refusal{kCallerLeft, Verdict::kNotRun, "the caller left",
-                       Millis(0)});
+    Complete(id, Refusal{kClientLeftStatus, Verdict::kNotRun, "the client left",
+                         Millis(0)});
 }
 
 void Scheduler::OnBytes(RequestId id) {
@@ -310,7 +314,7 @@
   const TargetEntry* entry = node_.FindTarget(target);
   Log(LogLevel::kInfo, "target-reachable",
       {{"target", entry == nullptr ? "" : entry->name}});
-  Poke();
+  ScheduleRun();
 }
 
 void Scheduler::Progress(RequestId id, int64_t tokens) {
@@ -320,21 +324,23 @@
 void Scheduler::Finish(RequestId id, int64_t tokens) {
   node_.ingress_scheduler().Finish(id, tokens);
   metrics_->tokens.Increment(static_cast<double>(tokens));
-  // A slot that may be kept waits for the next request; telling can wait for
-  // the next datagram.
+  // A slot that may be retained stays for the next request, and peers get to
+  // know of the change with the next datagram. So a run is not needed at once
+  // unless requests are queued or slots must be returned.
   if (node_.ingress_scheduler().queues().total() != 0 ||
       !node_.ingress_scheduler().KeepsSlots())
-    Poke();
+    ScheduleRun();
 }
 
 void Scheduler::SetList(const MemberList& list) {
   node_.SetList(list, kernel_->Now());
-  addresses_.clear();
+  peer_endpoints_.clear();
   for (const BoxEntry& box : list.boxes) {
     if (const auto address = ParseAddress(box.peer_address))
-      addresses_[BoxIdOf(box.name)] = {address->address(), address->port()};
+      peer_endpoints_[BoxIdOf(box.name)] = {address->address(),
+                                            address->port()};
   }
-  Poke();
+  ScheduleRun();
 }
 
 void Scheduler::SetCatalog(std::shared_ptr<const Catalog> catalog,
@@ -353,7 +359,7 @@
 void Scheduler::SetConfigOffset(int64_t offset) {
   node_.SetConfigOffset(offset);
   metrics_->config_offset.Set(static_cast<double>(offset));
-  Poke();
+  ScheduleRun();
 }
 
 void Scheduler::OnTargetLeaving(TargetId target) {
@@ -363,42 +369,43 @@
   Log(LogLevel::kInfo, "target-leaving",
       {{"target", entry == nullptr ? "" : entry->name},
        {"told_by", "its answer"}});
-  Poke();
+  ScheduleRun();
 }
 
 void Scheduler::OnTargetExit(const Fingerprint& request,
-                             SuspicionVersion stamp) {
-  node_.OnTargetExit(request, stamp, kernel_->Now());
-  Poke();
+                             SuspicionVersion version) {
+  node_.OnTargetExit(request, version, kernel_->Now());
+  ScheduleRun();
 }
 
 auto Scheduler::LiftQuarantine(WorkspaceId workspace) -> size_t {
-  const size_t lifted = node_.quarantine().Lift(workspace, kernel_->Now());
+  const size_t released = node_.quarantine().Lift(workspace, kernel_->Now());
   Log(LogLevel::kInfo, "quarantine-lifted",
-      {{"workspace", workspace}, {"requests", lifted}});
-  Poke();
-  return lifted;
+      {{"workspace", workspace}, {"requests", released}});
+  ScheduleRun();
+  return released;
 }
 
-void Scheduler::NoteQuarantine(Millis now) {
+void Scheduler::HandleQuarantineChanges(Millis now) {
   Quarantine& quarantine = node_.quarantine();
   for (const Quarantine::Blocked& blocked : quarantine.TakeNewlyBlocked(now))
     Log(LogLevel::kWarning, "request-quarantined",
         {{"fingerprint", ToString(blocked.request)},
          {"ends", blocked.ends},
          {"for_ms", blocked.span.count()}});
-  if (quarantine.TakePersistedRowsChanged() && on_kept_changed_)
-    on_kept_changed_();
+  if (quarantine.TakePersistedRowsChanged() && on_persisted_rows_changed_)
+    on_persisted_rows_changed_();
 }
 
 void Scheduler::OnRetryAfter(TargetId target, Millis span) {
   node_.ingress_scheduler().placement().OnRetryAfter(target, span,
                                                      kernel_->Now());
-  Poke();
+  ScheduleRun();
 }
 
-// The lines show whether requests went on after a target had asked for none.
-void Scheduler::NoteBackoff(Millis now) {
+// The log lines show whether requests still reached a target after it had asked
+// for none.
+void Scheduler::RecordEndedBackoffs(Millis now) {
   for (const TargetBackoff::Ended& ended :
        node_.ingress_scheduler().placement().backoff().TakeEndedBackoffs(now)) {
     const TargetEntry* entry = node_.FindTarget(ended.target);
@@ -418,7 +425,7 @@
 
 void Scheduler::Leave() {
   node_.Leave();
-  Poke();
+  ScheduleRun();
 }
 
 }  // namespace sparbend
--- a/sparbend/services/scheduler.h
+++ b/sparbend/services/scheduler.h
@@ -1,6 +1,12 @@
-// The service "scheduler": drives the pure Node with sockets and time. It
-// owns the datagram socket to the other boxes and wakes the coroutines that
-// wait for a slot.
+// The service "scheduler": runs the Node, which does no I/O itself, with a
+// socket and a clock. It owns the datagram socket for the exchange with other
+// boxes, and resumes the coroutines that wait for a slot.
+//
+//   SlotOrRefusal outcome = co_await scheduler->Acquire(request);
+//   if (const Slot* slot = std::get_if<Slot>(&outcome)) {
+//     ...  // send the request to slot->address
+//     scheduler->Finish(request.id, tokens);
+//   }
 #ifndef SPARBEND_SERVICES_SCHEDULER_H_
 #define SPARBEND_SERVICES_SCHEDULER_H_
 
@@ -20,15 +26,16 @@
 
 namespace sparbend {
 
-// A place at a target for one request.
+// Permission to send one request to a target.
 struct Slot {
   TargetId id = 0;
   std::string target;
   std::string hall;
   tcp::endpoint address;
-  // Another target that hands over its cached part of the prompt first.
+  // Address of another target, which first transfers its cached prefix of the
+  // prompt.
   std::optional<tcp::endpoint> fetch_from;
-  Choice choice;  // why, under Policy::kShared
+  Choice choice;  // reasons for the target, under Policy::kShared
 };
 
 using SlotOrRefusal = std::variant<Slot, Refusal>;
@@ -40,91 +47,112 @@
   void Start() override;
   void Stop() override;
 
-  // Waits for a slot. Ends with a refusal when there will be none, or the
-  // caller left (Abandon).
+  // Waits for a slot. Returns a refusal if there will be none, or if the client
+  // left (Abandon).
   auto Acquire(QueuedRequest request) -> asio::awaitable<SlotOrRefusal>;
-  // The attempt at the acquired slot is to be made again: waits for another
-  // one, until `until` at most.
+  // Waits for another slot, at most until the instant `until`, to retry an
+  // attempt that failed at the acquired slot.
   auto AcquireAgain(RequestId id, Millis until)
       -> asio::awaitable<SlotOrRefusal>;
-  // The caller of a waiting request left.
+  // The client of a waiting request left.
   void Abandon(RequestId id);
+  // Bytes of the request's response arrived.
   void OnBytes(RequestId id);
-  // A target that was left out for want of a connection takes one again.
+  // A target that was excluded since it accepted no connection accepts one
+  // again.
   void OnReachable(TargetId target);
+  // The request has received `tokens` of service so far.
   void Progress(RequestId id, int64_t tokens);
-  // What an attempt says of its target's health.
+  // Records what the outcome of an attempt shows of its target's health.
   void OnOutcome(TargetId target, TargetOutcome outcome);
-  // Every acquired slot must be finished exactly once.
+  // Returns the slot after `tokens` of service. Every acquired slot must be
+  // finished exactly once.
   void Finish(RequestId id, int64_t tokens);
 
   void SetList(const MemberList& list);
+  // Activates a configuration. `offset` is the one up to which this box knows
+  // the configuration; it is reported to peers.
   void SetCatalog(std::shared_ptr<const Catalog> catalog, int64_t offset);
-  // The halls that are to be empty; what operators wrote is known to `offset`.
+  // Sets all halls in which no new work may start. `offset` is as above.
   void SetEvacuatedHalls(const std::set<std::string>& halls, int64_t offset);
+  // A response of the target said that it is leaving.
   void OnTargetLeaving(TargetId target);
-  // A request sent at `stamp` was at a target when that ended.
-  void OnTargetExit(const Fingerprint& request, SuspicionVersion stamp);
-  // Called when what this box is to write down of the quarantine may have
-  // changed.
-  void SetOnKeptChanged(std::function<void()> on_kept_changed) {
-    on_kept_changed_ = std::move(on_kept_changed);
+  // A target exited while it executed a request that was sent at `version`.
+  void OnTargetExit(const Fingerprint& request, SuspicionVersion version);
+  // Sets a function to call when the quarantine rows that this box must persist
+  // may have changed.
+  void SetOnPersistedRowsChanged(
+      std::function<void()> on_persisted_rows_changed) {
+    on_persisted_rows_changed_ = std::move(on_persisted_rows_changed);
   }
-  // Operators let the held requests of a workspace go; how many there were.
+  // Releases the quarantined requests of a workspace, by command of an
+  // operator. Returns their number.
   auto LiftQuarantine(WorkspaceId workspace) -> size_t;
-  // The target turned a request away and wants none from this box for `span`.
+  // The target rejected a request and asked this box to send none for `span`.
   void OnRetryAfter(TargetId target, Millis span);
+  // The target reported that it executes `running` requests.
   void OnTargetLoad(TargetId target, int running);
+  // This box leaves the fleet; reports it to the others.
   void Leave();
 
   auto node() -> Node& { return node_; }
-  // Whether this box keeps up with its work.
+  // Whether this box is overloaded.
   auto overload() const -> const Overload& { return overload_; }
-  // Address of the datagram socket once started.
+  // Address of the datagram socket.
   auto peer_address() const -> std::string;
 
  private:
+  // A coroutine that waits for a slot.
   struct Waiter {
     explicit Waiter(asio::io_context& io) : timer(io) {}
     asio::steady_timer timer;
     std::optional<SlotOrRefusal> outcome;
-    Millis since;
+    Millis since;  // start of the wait
   };
 
   auto Wait(RequestId id) -> asio::awaitable<SlotOrRefusal>;
   auto Receive() -> asio::awaitable<void>;
   auto Tick() -> asio::awaitable<void>;
-  auto WakeAfter(Millis now) const -> Millis;
-  void NoteLoad();
-  void OnRefused(const std::error_code& why,
-                 const asio::ip::udp::endpoint& from);
-  void NoteSumAge(Millis now);
-  void NoteQuarantine(Millis now);
-  void NoteBackoff(Millis now);
+  // When the timer is to run next.
+  auto NextTimerTime(Millis now) const -> Millis;
+  // Sends a loop delay probe to this box itself and updates the overload state,
+  // once in kOverloadUpdateInterval.
+  void UpdateOverload();
+  void OnDatagramRefused(const std::error_code& why,
+                         const asio::ip::udp::endpoint& from);
+  void UpdateAggregateAge(Millis now);
+  void HandleQuarantineChanges(Millis now);
+  void RecordEndedBackoffs(Millis now);
   void SetConfigOffset(int64_t offset);
+  // Whether the datagram is this box's own loop delay probe.
   auto IsOwnProbe(std::string_view datagram) -> bool;
-  void Poke();
+  // Makes the event loop call RunNode() soon.
+  void ScheduleRun();
+  // Has the node decide, sends its datagrams and resumes waiting coroutines.
   void RunNode();
-  void Settle(RequestId id, SlotOrRefusal outcome);
-  auto SlotFor(const Dispatch& dispatch) -> SlotOrRefusal;
-  // The address of the target that hands over a part of the prompt, if any.
-  auto SourceOf(const Choice& choice) const -> std::optional<tcp::endpoint>;
+  // Resumes the coroutine that waits for the request's slot. Without one,
+  // returns the slot.
+  void Complete(RequestId id, SlotOrRefusal outcome);
+  auto MakeSlot(const Dispatch& dispatch) -> SlotOrRefusal;
+  // Address of the target that transfers a cached prefix, if any.
+  auto TransferSourceOf(const Choice& choice) const
+      -> std::optional<tcp::endpoint>;
 
   Kernel* kernel_;
   Node node_;
   std::string address_;
   asio::ip::udp::socket socket_;
-  asio::steady_timer tick_;
-  bool poked_ = false;
+  asio::steady_timer timer_;
+  bool run_scheduled_ = false;
   Overload overload_;
   LoopDelay loop_delay_;
-  bool sum_stale_ = false;
-  Millis refused_logged_;
-  Millis load_noted_;
+  bool aggregate_stale_ = false;
+  Millis refusal_logged_at_;
+  Millis overload_updated_at_;
   std::shared_ptr<Metrics> metrics_;
-  std::function<void()> on_kept_changed_;
+  std::function<void()> on_persisted_rows_changed_;
   std::map<RequestId, std::shared_ptr<Waiter>> waiters_;
-  std::map<BoxId, asio::ip::udp::endpoint> addresses_;
+  std::map<BoxId, asio::ip::udp::endpoint> peer_endpoints_;
 };
 
 }  // namespace sparbend
