--- a/sparbend/services/admin.cc
+++ b/sparbend/services/admin.cc
@@ -126,7 +126,7 @@
   if (draining_)
     return "draining";
   if (!config_->ready())
-    return config_->why_not_ready();
+    return config_->not_ready_reason();
   return scheduler_->overload().busy() ? "this box is overloaded" : "";
 }
 
--- a/sparbend/services/catalog_source.h
+++ b/sparbend/services/catalog_source.h
@@ -20,7 +20,7 @@
   virtual auto ready() const -> bool = 0;
   // What is missing, in words for clients and operators; meaningful only while
   // ready() is false.
-  virtual auto why_not_ready() const -> std::string = 0;
+  virtual auto not_ready_reason() const -> std::string = 0;
   // Never null; empty before the first configuration.
   virtual auto catalog() const -> std::shared_ptr<const Catalog> = 0;
   // Grows with each configuration that is applied; for logs and peers.
--- a/sparbend/services/config.cc
+++ b/sparbend/services/config.cc
@@ -70,7 +70,7 @@
   return loaded_ && scheduler_->node().members().list().version > 0;
 }
 
-auto ConfigService::why_not_ready() const -> std::string {
+auto ConfigService::not_ready_reason() const -> std::string {
   return loaded_ ? "no list of targets has been read yet"
                  : "no configuration has been read yet";
 }
--- a/sparbend/services/declarations.cc
+++ b/sparbend/services/declarations.cc
@@ -65,7 +65,7 @@
   return version_ > 0 && directory_->known();
 }
 
-auto Declarations::why_not_ready() const -> std::string {
+auto Declarations::not_ready_reason() const -> std::string {
   return version_ == 0 ? "no configuration has been read yet"
                        : "no list of targets has been read yet";
 }
@@ -133,7 +133,7 @@
                      : evacuated_halls_.Drop(*hall, record.offset);
     halls_changed = halls_changed || record_changed;
   }
-  if (page.whole)
+  if (page.full)
     halls_changed = evacuated_halls_.Retain(named, page.next) || halls_changed;
   SetOffset(page.next, halls_changed, "store");
 }
--- a/sparbend/services/declarations.h
+++ b/sparbend/services/declarations.h
@@ -26,7 +26,7 @@
   void Start() override;
 
   auto ready() const -> bool override;
-  auto why_not_ready() const -> std::string override;
+  auto not_ready_reason() const -> std::string override;
   auto catalog() const -> std::shared_ptr<const Catalog> override {
     return catalog_;
   }
--- a/sparbend/services/directory.cc
+++ b/sparbend/services/directory.cc
@@ -262,7 +262,7 @@
          {"ended", removed},
          {"why", entry.error().detail}});
   }
-  if (page.whole)
+  if (page.full)
     changed = targets_.Retain(names, page.next, removal) || changed;
   targets_end_ = std::max(targets_end_, page.next);
   return changed;
--- a/sparbend/services/frontend.cc
+++ b/sparbend/services/frontend.cc
@@ -322,7 +322,7 @@
                            RequestContext* exchange) -> std::optional<Refusal> {
   exchange->received = kernel_->Now();
   if (!config_->ready())
-    return NotRun(503, config_->why_not_ready(), kRetryAfterStart);
+    return NotRun(503, config_->not_ready_reason(), kRetryAfterStart);
   if (draining_)
     return NotRun(503, "this box is stopping", kRetryAfterStop);
   exchange->catalog = config_->catalog();
--- a/sparbend/services/keyed_log.cc
+++ b/sparbend/services/keyed_log.cc
@@ -19,7 +19,7 @@
 }
 
 auto KeyedLogReader::ReadNewest() -> asio::awaitable<Result<KeyedPage>> {
-  Result<KeyedPage> page = co_await log_.newest();
+  Result<KeyedPage> page = co_await log_.read_newest();
   if (page)
     next_ = page->next;
   co_return page;
--- a/sparbend/services/keyed_log.h
+++ b/sparbend/services/keyed_log.h
@@ -28,16 +28,16 @@
 
 struct KeyedPage {
   std::vector<KeyedRecord> records;
-  int64_t next = 0;    // offset at which the next read starts
-  bool whole = false;  // has the newest record of every key; otherwise only
-                       // the records since the last read
+  int64_t next = 0;   // offset at which the next read starts
+  bool full = false;  // has the newest record of every key; otherwise only
+                      // the records since the last read
 };
 
 // A log of keyed records. Errors are those of HttpClient, and kTrimmed if the
 // log no longer keeps the requested offset.
 struct KeyedLog {
   // Reads the newest record of every key.
-  std::function<asio::awaitable<Result<KeyedPage>>()> newest;
+  std::function<asio::awaitable<Result<KeyedPage>>()> read_newest;
   // Reads the records from offset `from` on; if there is none yet, waits up to
   // `wait` for the first.
   std::function<asio::awaitable<Result<KeyedPage>>(int64_t from, Millis wait)>
