--- a/sparbend/services/metrics.cc
+++ b/sparbend/services/metrics.cc
@@ -25,7 +25,8 @@
       .Add({});
 }
 
-auto QueueBuckets() -> prometheus::Histogram::BucketBoundaries {
+// Upper bounds in seconds; so are those below.
+auto RequestTimeBuckets() -> prometheus::Histogram::BucketBoundaries {
   return {0.001, 0.005, 0.02, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2, 10, 60};
 }
 
@@ -64,10 +65,10 @@
           NewCounter(*registry,
                      "quarantine_refusals_total",
                      "Requests not sent, since targets ended under them")),
-      list_refusals(NewCounter(*registry,
-                               "list_refusals_total",
-                               "Requests not sent, since the list of targets "
-                               "was out of date")),
+      list_refusals(NewCounter(
+          *registry,
+          "list_refusals_total",
+          "Requests not sent, since the list of targets was out of date")),
       backoffs_asked(NewCounter(*registry,
                                 "backoffs_asked_total",
                                 "Refusals of targets with Retry-After")),
@@ -123,28 +124,27 @@
                              "fleet_sum_age_seconds",
                              "Age of what is known of other boxes' work, in a "
                              "fleet that adds up by halls")),
-      log_lines_dropped(NewGauge(*registry,
-                                 "log_lines_dropped",
-                                 "Log lines that a slow reader had no room "
-                                 "for")),
+      log_lines_dropped(
+          NewGauge(*registry,
+                   "log_lines_dropped",
+                   "Log lines that a slow reader had no room for")),
       queue_seconds(prometheus::BuildHistogram()
                         .Name("sparbend_queue_seconds")
                         .Help("Time from receipt to dispatch")
                         .Register(*registry)
-                        .Add({}, QueueBuckets())),
+                        .Add({}, RequestTimeBuckets())),
       first_byte_seconds(
           prometheus::BuildHistogram()
               .Name("sparbend_first_byte_seconds")
               .Help("Time from receipt to the answer's first byte")
               .Register(*registry)
-              .Add({}, QueueBuckets())),
-      withdrawal_seconds(
-          prometheus::BuildHistogram()
-              .Name("sparbend_withdrawal_seconds")
-              .Help("Time from the last list that named a target as usable to "
-                    "the one that does not")
-              .Register(*registry)
-              .Add({}, WithdrawalBuckets())),
+              .Add({}, RequestTimeBuckets())),
+      withdrawal_seconds(prometheus::BuildHistogram()
+                             .Name("sparbend_withdrawal_seconds")
+                             .Help("Time from the last list that named a "
+                                   "target as usable to the one that does not")
+                             .Register(*registry)
+                             .Add({}, WithdrawalBuckets())),
       backoff_last_refusal_seconds(
           prometheus::BuildHistogram()
               .Name("sparbend_backoff_last_refusal_seconds")
