--- a/sparbend/services/client_acceptor.cc
+++ b/sparbend/services/client_acceptor.cc
@@ -1,6 +1,6 @@
-// While callers wait, each pass of Run is one turn of the loop: posting itself
-// puts it behind everything that is ready by then, so that the turns tell how
-// much other work there is.
+// While clients wait, each pass of Run is one turn of the event loop: posting
+// itself puts it behind everything that is ready by then, so the time between
+// two turns shows how much other work the box has.
 #include "sparbend/services/client_acceptor.h"
 
 #include "sparbend/kernel/log.h"
@@ -8,21 +8,21 @@
 namespace sparbend {
 namespace {
 
-// Taken in within one turn: so few that a box of an eighth of a core does it in
-// some ten milliseconds and comes to its other work.
-constexpr int kMostTakenInATurn = 64;
-// A wait after a failed accept: out of descriptors, most likely.
-constexpr Millis kPause = Millis(10);
-// One that waited this long is worth a line: a tenth of the tightest objective
-// of a first byte seen in use (300 ms).
-constexpr Millis kLongWait = Millis(30);
-constexpr Millis kNoteInterval = Millis(500);
+// Few enough that a box with an eighth of a core accepts them in about 10 ms
+// and then gets to its other work.
+constexpr int kMaxAcceptsPerTurn = 64;
+// After a failed accept, most likely for lack of file descriptors.
+constexpr Millis kAcceptRetryDelay = Millis(10);
+// A longer wait is logged. This is a tenth of the tightest objective in use for
+// the time to the first byte, 300 ms.
+constexpr Millis kLongWaitThreshold = Millis(30);
+constexpr Millis kLongWaitLogInterval = Millis(500);
 
 }  // namespace
 
 ClientAcceptor::ClientAcceptor(Kernel* kernel,
                                std::shared_ptr<Metrics> metrics,
-                               AcceptingHooks hooks)
+                               ClientAcceptorHooks hooks)
     : kernel_(kernel),
       metrics_(std::move(metrics)),
       hooks_(std::move(hooks)),
@@ -41,17 +41,17 @@
   return FormatAddress(acceptor_.local_endpoint(error));
 }
 
-// What waits in the listen queue is taken in first: closing that would reset
-// callers that have been heard by nobody.
+// Connections in the kernel's listen queue are accepted first: closing the
+// listening socket would reset them without any answer.
 void ClientAcceptor::Close() {
-  TakeAll();
+  AcceptPending();
   boost::system::error_code ignored;
   acceptor_.close(ignored);
 }
 
 auto ClientAcceptor::Run() -> asio::awaitable<void> {
   while (acceptor_.is_open()) {
-    if (intake_.size() != 0) {
+    if (accept_queue_.size() != 0) {
       co_await asio::post(asio::use_awaitable);
     } else {
       auto [error, socket] = co_await acceptor_.async_accept(kAwait);
@@ -59,65 +59,67 @@
         break;
       if (error) {
         Log(LogLevel::kWarning, "accept-failed", {{"error", error.message()}});
-        co_await Sleep(kPause);
+        co_await Sleep(kAcceptRetryDelay);
         continue;
       }
-      Take(std::move(socket));
+      Add(std::move(socket));
     }
-    TakeAll();
-    NoteWaiting();
+    AcceptPending();
+    LogLongWait();
     ServeTurn();
-    metrics_->callers_waiting.Set(static_cast<double>(intake_.size()));
+    metrics_->callers_waiting.Set(static_cast<double>(accept_queue_.size()));
   }
   while (!waiting_.empty())
     Refuse(waiting_.begin()->first);
 }
 
-void ClientAcceptor::Take(tcp::socket socket) {
-  if (!hooks_.may_take(intake_.size()))
-    return;  // closed unread: the caller tries another box at once
+void ClientAcceptor::Add(tcp::socket socket) {
+  if (!hooks_.may_accept(accept_queue_.size()))
+    return;  // closed unread: the client tries another box immediately
   const Millis now = kernel_->Now();
-  waiting_.emplace(intake_.Add(now), Waiting{std::move(socket), now});
+  waiting_.emplace(accept_queue_.Add(now),
+                   WaitingConnection{std::move(socket), now});
 }
 
-void ClientAcceptor::TakeAll() {
-  for (int taken = 0; taken < kMostTakenInATurn; ++taken) {
+void ClientAcceptor::AcceptPending() {
+  for (int accepted = 0; accepted < kMaxAcceptsPerTurn; ++accepted) {
     tcp::socket next(acceptor_.get_executor());
     boost::system::error_code error;
     acceptor_.accept(next, error);
     if (error)
-      return;  // none waits, or the next turn tells why
-    Take(std::move(next));
+      return;  // none waits, or the next turn logs the error
+    Add(std::move(next));
   }
 }
 
-void ClientAcceptor::Serve(uint64_t caller) {
-  auto waiting = waiting_.extract(caller);
+void ClientAcceptor::Serve(uint64_t client) {
+  auto waiting = waiting_.extract(client);
   hooks_.serve(std::move(waiting.mapped().socket));
 }
 
-void ClientAcceptor::Refuse(uint64_t caller) {
-  auto waiting = waiting_.extract(caller);
-  const Millis waited = kernel_->Now() - waiting.mapped().since;
+void ClientAcceptor::Refuse(uint64_t client) {
+  auto waiting = waiting_.extract(client);
+  const Millis waited = kernel_->Now() - waiting.mapped().accepted_at;
   hooks_.refuse(std::move(waiting.mapped().socket), waited);
 }
 
 void ClientAcceptor::ServeTurn() {
-  const AcceptQueue::Turn turn = intake_.NextTurn(kernel_->Now());
-  for (const uint64_t caller : turn.serve)
-    Serve(caller);
-  for (const uint64_t caller : turn.refuse)
-    Refuse(caller);
+  const AcceptQueue::Turn turn = accept_queue_.NextTurn(kernel_->Now());
+  for (const uint64_t client : turn.serve)
+    Serve(client);
+  for (const uint64_t client : turn.refuse)
+    Refuse(client);
 }
 
-void ClientAcceptor::NoteWaiting() {
+void ClientAcceptor::LogLongWait() {
   const Millis now = kernel_->Now();
-  const Millis longest = intake_.longest_wait(now);
-  if (longest < kLongWait || now - noted_ < kNoteInterval)
+  const Millis longest = accept_queue_.longest_wait(now);
+  if (longest < kLongWaitThreshold ||
+      now - last_long_wait_log_ < kLongWaitLogInterval)
     return;
-  noted_ = now;
+  last_long_wait_log_ = now;
   Log(LogLevel::kWarning, "callers-waiting",
-      {{"waiting", intake_.size()}, {"longest_ms", longest.count()}});
+      {{"waiting", accept_queue_.size()}, {"longest_ms", longest.count()}});
 }
 
 }  // namespace sparbend
--- a/sparbend/services/client_acceptor.h
+++ b/sparbend/services/client_acceptor.h
@@ -1,10 +1,10 @@
-// Takes callers' connections in as they come, and hands on as many in each turn
-// of the loop as the box can serve (core/intake). Not a service of the kernel:
-// the front owns it.
+// Accepts clients' connections as soon as they arrive, and passes on as many in
+// each turn of the event loop as the box can serve (core/accept_queue). Not a
+// service of the kernel: the frontend owns it.
 //
-//   Accepting accepting(kernel, metrics, hooks);
-//   if (std::error_code error = accepting.Listen(endpoint)) ...
-//   kernel->Spawn("front-accept", accepting.Run());
+//   ClientAcceptor acceptor(kernel, metrics, hooks);
+//   if (std::error_code error = acceptor.Listen(endpoint)) ...
+//   kernel->Spawn("front-accept", acceptor.Run());
 #ifndef SPARBEND_SERVICES_CLIENT_ACCEPTOR_H_
 #define SPARBEND_SERVICES_CLIENT_ACCEPTOR_H_
 
@@ -20,13 +20,14 @@
 
 namespace sparbend {
 
-struct AcceptingHooks {
-  // Whether one more connection may be held, with `waiting` unread ones.
-  std::function<bool(size_t waiting)> may_take;
+struct ClientAcceptorHooks {
+  // Whether one more connection may be accepted while `waiting` accepted ones
+  // have not been read yet.
+  std::function<bool(size_t waiting)> may_accept;
   // Takes over a connection whose requests are to be served.
   std::function<void(tcp::socket)> serve;
-  // Takes over a connection whose request is to be refused at once, since it
-  // has waited for `waited`, or the box takes no more.
+  // Takes over a connection whose request is to be refused immediately, because
+  // it has waited too long (`waited` since it was accepted) or the box stops.
   std::function<void(tcp::socket, Millis waited)> refuse;
 };
 
@@ -34,34 +35,40 @@
  public:
   ClientAcceptor(Kernel* kernel,
                  std::shared_ptr<Metrics> metrics,
-                 AcceptingHooks hooks);
+                 ClientAcceptorHooks hooks);
 
   auto Listen(const tcp::endpoint& endpoint) -> std::error_code;
-  // Runs until Close; then all that were taken in are refused.
+  // Runs until Close. Then the connections that still wait are refused.
   auto Run() -> asio::awaitable<void>;
+  // Stops listening. Connections in the kernel's listen queue are accepted
+  // first, so that Run refuses them.
   void Close();
   auto address() const -> std::string;
 
  private:
-  struct Waiting {
+  struct WaitingConnection {
     tcp::socket socket;
-    Millis since;
+    Millis accepted_at;
   };
 
-  void Take(tcp::socket socket);
-  void TakeAll();
+  // Queues an accepted connection, or closes it if the hooks don't allow more.
+  void Add(tcp::socket socket);
+  // Accepts connections from the listen queue, up to a number per turn.
+  void AcceptPending();
+  // Serves and refuses the connections that are due in this turn.
   void ServeTurn();
-  void Serve(uint64_t caller);
-  void Refuse(uint64_t caller);
-  void NoteWaiting();
+  void Serve(uint64_t client);
+  void Refuse(uint64_t client);
+  void LogLongWait();
 
   Kernel* kernel_;
   std::shared_ptr<Metrics> metrics_;
-  AcceptingHooks hooks_;
+  ClientAcceptorHooks hooks_;
   tcp::acceptor acceptor_;
-  AcceptQueue intake_;
-  std::unordered_map<uint64_t, Waiting> waiting_;  // by the intake's number
-  Millis noted_;
+  AcceptQueue accept_queue_;
+  // By the client's number in accept_queue_.
+  std::unordered_map<uint64_t, WaitingConnection> waiting_;
+  Millis last_long_wait_log_;
 };
 
 }  // namespace sparbend
--- a/sparbend/services/client_stream.cc
+++ b/sparbend/services/client_stream.cc
@@ -1,5 +1,6 @@
-// A broken answer is left without its last chunk, or short of its stated
-// length, and the connection is closed: no client takes that for whole.
+// An interrupted answer ends without its last chunk, or is shorter than its
+// Content-Length, and the connection is closed. No client takes such an answer
+// for complete.
 //
 // The expiry of writes is renewed at most once a second: renewing it for each
 // streamed token would cost more than the write.
@@ -10,11 +11,11 @@
 namespace sparbend {
 namespace {
 
-constexpr std::chrono::seconds kExpiryStep(1);
+constexpr std::chrono::seconds kExpiryRenewalInterval(1);
 
 }  // namespace
 
-// Outlives the Caller when the wait is still pending.
+// Outlives the ClientStream while the handler of the wait is pending.
 struct ClientStream::WatchState {
   bool active = true;
   std::function<void()> on_gone;
@@ -26,7 +27,7 @@
     : stream_(stream),
       keep_alive_(keep_alive),
       send_time_(send_time),
-      guard_(&stream->socket()) {}
+      send_guard_(&stream->socket()) {}
 
 ClientStream::~ClientStream() {
   EndWatch();
@@ -34,9 +35,9 @@
 
 void ClientStream::RenewExpiry() {
   const auto now = std::chrono::steady_clock::now();
-  if (now - expiry_set_ < kExpiryStep)
+  if (now - expiry_renewed_at_ < kExpiryRenewalInterval)
     return;
-  expiry_set_ = now;
+  expiry_renewed_at_ = now;
   stream_->expires_after(std::chrono::milliseconds(send_time_.count()));
 }
 
@@ -48,7 +49,7 @@
   const auto [error, sent] =
       co_await http::async_write(*stream_, response, kAwait);
   gone_ = gone_ || error;
-  whole_ = !error;
+  complete_ = !error;
   co_return !error;
 }
 
@@ -82,14 +83,14 @@
   answer_.body().more = more;
   if (piece.empty())
     answer_.body().data = nullptr;
-  guard_.Begin(send_time_);
+  send_guard_.Begin(send_time_);
   auto [error, sent] =
       co_await http::async_write(stream_->socket(), *serializer_, kAwait);
-  guard_.End();
+  send_guard_.End();
   if (error == http::error::need_buffer)
     error = {};
   gone_ = gone_ || error;
-  whole_ = !error && !more;
+  complete_ = !error && !more;
   co_return !error;
 }
 
--- a/sparbend/services/client_stream.h
+++ b/sparbend/services/client_stream.h
@@ -1,5 +1,12 @@
-// The caller's side of one request: writes the answer, watches for the caller
-// leaving, and makes sure that a broken answer never looks whole.
+// The client's side of one request: writes the answer, watches whether the
+// client disconnects, and makes sure that an interrupted answer never looks
+// complete to the client.
+//
+//   ClientStream client(&tcp_stream, keep_alive, send_time);
+//   client.Watch([] { ... });                    // the client disconnected
+//   co_await client.Begin(header, std::nullopt);  // or Answer(response)
+//   co_await client.Send(bytes, /*more=*/true);
+//   co_await client.Send({}, /*more=*/false);
 #ifndef SPARBEND_SERVICES_CLIENT_STREAM_H_
 #define SPARBEND_SERVICES_CLIENT_STREAM_H_
 
@@ -14,7 +21,8 @@
 
 namespace sparbend {
 
-// Header fields the answer carries for the caller to quote and to act on.
+// Header fields of an answer: whether a target may have executed the request,
+// and the id under which the box logged it.
 inline constexpr std::string_view kVerdictField = "Sparbend-Verdict";
 inline constexpr std::string_view kRequestField = "Sparbend-Request";
 
@@ -22,27 +30,31 @@
  public:
   using Header = http::response_header<>;
 
-  // `stream` must outlive this; `send_time` bounds one write.
+  // `stream` must outlive this. A write that takes longer than `send_time` is
+  // cancelled and counts as a client that is gone.
   ClientStream(beast::tcp_stream* stream, bool keep_alive, Millis send_time);
   ~ClientStream();
 
-  // Sends a whole answer of our own. False if the caller is gone.
+  // Sends a complete answer of the box itself. False if the client is gone.
   auto Answer(StringResponse response) -> asio::awaitable<bool>;
-  // Begins the target's answer: its length if known, else chunked.
+  // Sends the header of the target's answer, with the length of the body if it
+  // is known, otherwise with chunked encoding. False if the client is gone.
   auto Begin(const Header& header, std::optional<uint64_t> length)
       -> asio::awaitable<bool>;
-  // Sends a piece of the body; an empty one with `more` off ends it.
+  // Sends `piece` of the body after Begin. The last call has `more` false, and
+  // may have an empty piece. False if the client is gone.
   auto Send(std::string_view piece, bool more) -> asio::awaitable<bool>;
 
-  // Calls `on_gone` once if the caller closes its side. At most one watch.
+  // Calls `on_gone` once if the client closes its side before EndWatch. Only
+  // one watch may be active.
   void Watch(std::function<void()> on_gone);
   void EndWatch();
 
-  // Whether some byte of an answer was handed over.
+  // Whether the first write of an answer has started.
   auto began() const -> bool { return began_; }
   auto gone() const -> bool { return gone_; }
   // Whether another request may follow on this connection.
-  auto reusable() const -> bool { return whole_ && keep_alive_ && !gone_; }
+  auto reusable() const -> bool { return complete_ && keep_alive_ && !gone_; }
 
  private:
   using Body = http::response<http::buffer_body>;
@@ -53,13 +65,13 @@
   beast::tcp_stream* stream_;
   bool keep_alive_;
   Millis send_time_;
-  std::chrono::steady_clock::time_point expiry_set_;
+  std::chrono::steady_clock::time_point expiry_renewed_at_;
   Body answer_;
   std::optional<http::response_serializer<http::buffer_body>> serializer_;
-  IdleGuard guard_;  // of Send
+  IdleGuard send_guard_;  // limits the writes of Send
   std::shared_ptr<WatchState> watch_;
   bool began_ = false;
-  bool whole_ = false;
+  bool complete_ = false;
   bool gone_ = false;
 };
 
--- a/sparbend/services/connections.cc
+++ b/sparbend/services/connections.cc
@@ -1,6 +1,6 @@
-// A target that says how long it keeps a resting connection closes it about
-// then, perhaps at the moment of the next request; one is used again only in
-// the first half of that time.
+// A target that states how long it keeps an idle connection closes it at about
+// that time, possibly just as the next request is sent. A connection is reused
+// only within the first half of that time.
 #include "sparbend/services/connections.h"
 
 #include <algorithm>
@@ -11,33 +11,34 @@
 namespace {
 
 constexpr size_t kMaxIdlePerTarget = 64;
-// All kept by this box: a second's worth of what a busy box opens. Each holds
-// a descriptor and some kilobytes.
+// Over all targets: as many as a busy box opens in a second. Each takes a file
+// descriptor and some kilobytes.
 constexpr size_t kMaxIdle = 512;
 constexpr Millis kSweepInterval = Millis(1'000);
 
-auto RestAllowed(const Connection& connection, Millis longest_rest) -> Millis {
-  if (connection.keep_time <= Millis(0))
-    return longest_rest;
-  return std::min(longest_rest, Millis(connection.keep_time.count() / 2));
+auto MaxIdleTime(const Connection& connection, Millis max_idle_time) -> Millis {
+  if (connection.keep_alive_timeout <= Millis(0))
+    return max_idle_time;
+  return std::min(max_idle_time,
+                  Millis(connection.keep_alive_timeout.count() / 2));
 }
 
 }  // namespace
 
-auto Connections::Take(TargetId target, Millis longest_rest, Millis now)
+auto Connections::Take(TargetId target, Millis max_idle_time, Millis now)
     -> std::shared_ptr<Connection> {
   const auto found = idle_.find(target);
   if (found == idle_.end())
     return nullptr;
   while (!found->second.empty()) {
-    // The newest first; when that one has rested too long, all have.
+    // The newest first: if it has been idle for too long, so have all others.
     std::shared_ptr<Connection>& newest = found->second.back();
-    if (now - newest->kept_since > RestAllowed(*newest, longest_rest))
+    if (now - newest->idle_since > MaxIdleTime(*newest, max_idle_time))
       return nullptr;
     std::shared_ptr<Connection> connection = std::move(newest);
     found->second.pop_back();
     --idle_count_;
-    // Nothing to read and not closed: the only state a kept one may be in.
+    // A reusable connection is open and has nothing to read.
     if (PeekSocket(connection->stream.socket()) == SocketState::kQuiet) {
       connection->reused = true;
       return connection;
@@ -47,11 +48,11 @@
 }
 
 void Connections::Sweep(Millis now) {
-  swept_ = now;
+  last_sweep_ = now;
   idle_count_ = 0;
   for (auto& [target, idle] : idle_) {
     std::erase_if(idle, [&](const std::shared_ptr<Connection>& kept) {
-      return now - kept->kept_since > RestAllowed(*kept, longest_rest_);
+      return now - kept->idle_since > MaxIdleTime(*kept, max_idle_time_);
     });
     idle_count_ += idle.size();
   }
@@ -60,15 +61,15 @@
 void Connections::Keep(TargetId target,
                        std::shared_ptr<Connection> connection,
                        Millis now) {
-  if (connection->buffer.size() != 0 || connection->suspect)
+  if (connection->buffer.size() != 0 || connection->must_close)
     return;
-  if (now - swept_ >= kSweepInterval)
+  if (now - last_sweep_ >= kSweepInterval)
     Sweep(now);
   std::vector<std::shared_ptr<Connection>>& idle = idle_[target];
   if (idle.size() >= kMaxIdlePerTarget || idle_count_ >= kMaxIdle)
     return;
   connection->stream.expires_never();
-  connection->kept_since = now;
+  connection->idle_since = now;
   idle.push_back(std::move(connection));
   ++idle_count_;
 }
--- a/sparbend/services/connections.h
+++ b/sparbend/services/connections.h
@@ -1,5 +1,11 @@
-// Kept connections to targets. One is kept only after a whole exchange, so
-// that a late answer never meets the next caller.
+// Idle connections to targets, kept for reuse. A connection is kept only after
+// a complete request and answer, so that a late answer never reaches the next
+// client.
+//
+//   std::shared_ptr<Connection> connection =
+//       connections.Take(target, max_idle_time, now);   // null: connect
+//   ...
+//   connections.Keep(target, std::move(connection), now);
 #ifndef SPARBEND_SERVICES_CONNECTIONS_H_
 #define SPARBEND_SERVICES_CONNECTIONS_H_
 
@@ -17,38 +23,44 @@
       : stream(executor) {}
   beast::tcp_stream stream;
   beast::flat_buffer buffer;
-  Millis made_at;
-  Millis sent_at;     // the request under way
-  Millis expiry_set;  // when the stream's expiry was last renewed
-  Millis kept_since;
-  Millis keep_time;  // how long the target said it keeps it; zero: not said
+  Millis connected_at;
+  Millis sent_at;            // when the current request was sent
+  Millis expiry_renewed_at;  // when the stream's expiry was last renewed
+  Millis idle_since;         // when it was last kept for reuse
+  // How long the target keeps it open while idle, from the Keep-Alive field;
+  // zero: not stated.
+  Millis keep_alive_timeout;
   bool reused = false;
-  bool suspect = false;  // something on it belonged to no request
+  // It can't be reused: the target closes it, or bytes of other requests may be
+  // on it.
+  bool must_close = false;
 };
 
 class Connections {
  public:
-  // None is kept that has rested for longer than `longest_rest`.
-  explicit Connections(Millis longest_rest) : longest_rest_(longest_rest) {}
+  // A connection that has been idle for longer than `max_idle_time` is closed.
+  explicit Connections(Millis max_idle_time) : max_idle_time_(max_idle_time) {}
 
-  // A kept connection that is not known to be closed and has rested for
-  // `longest_rest` at most, or null.
-  auto Take(TargetId target, Millis longest_rest, Millis now)
+  // Removes and returns a connection that is not known to be closed and has
+  // been idle for at most `max_idle_time`; null if there is none.
+  auto Take(TargetId target, Millis max_idle_time, Millis now)
       -> std::shared_ptr<Connection>;
-  // Keeps `connection` for the next request, within a bound. The caller
-  // vouches that nothing of the last exchange is left on it.
+  // Keeps `connection` for the next request, unless as many are idle as allowed
+  // or it can't be reused. The caller guarantees that nothing of the last
+  // request or answer is still to come on it.
   void Keep(TargetId target,
             std::shared_ptr<Connection> connection,
             Millis now);
-  // Kept over all targets, those not yet found useless included.
+  // Connections kept over all targets. Includes those that have been closed or
+  // idle for too long and were not removed yet.
   auto idle() const -> size_t { return idle_count_; }
 
  private:
-  // Closes what is of no use any more.
+  // Closes connections that have been idle for too long.
   void Sweep(Millis now);
 
-  Millis longest_rest_;
-  Millis swept_;
+  Millis max_idle_time_;
+  Millis last_sweep_;
   size_t idle_count_ = 0;  // over all targets
   std::map<TargetId, std::vector<std::shared_ptr<Connection>>> idle_;
 };
--- a/sparbend/services/connections_test.cc
+++ b/sparbend/services/connections_test.cc
@@ -1,3 +1,5 @@
+// Idle connections must be bounded over all targets, and closed in time even if
+// their target is never used again: each takes a file descriptor.
 #include "sparbend/services/connections.h"
 
 #include <CppUTest/TestHarness.h>
@@ -5,11 +7,11 @@
 namespace sparbend {
 namespace {
 
-constexpr Millis kRest(4'000);
+constexpr Millis kMaxIdleTime(4'000);
 
 TEST_GROUP(Connections) {
   asio::io_context io;
-  Connections connections{kRest};
+  Connections connections{kMaxIdleTime};
 
   void Keep(TargetId target, Millis now) {
     connections.Keep(target, std::make_shared<Connection>(io.get_executor()),
@@ -17,7 +19,7 @@
   }
 };
 
-TEST(Connections, WhatABoxKeepsIsBoundedOverAllTargets) {
+TEST(Connections, IdleConnectionsAreBoundedOverAllTargets) {
   for (TargetId target = 0; target < 200; ++target) {
     for (int i = 0; i < 10; ++i)
       Keep(target, Millis(5'000));
@@ -25,7 +27,7 @@
   LONGS_EQUAL(512, connections.idle());
 }
 
-TEST(Connections, WhatRestedTooLongIsClosedWhoeverIsUsed) {
+TEST(Connections, ExpiredConnectionsAreClosedWhicheverTargetIsUsed) {
   for (TargetId target = 0; target < 100; ++target)
     Keep(target, Millis(5'000));
   LONGS_EQUAL(100, connections.idle());
--- a/sparbend/services/crash_watch.cc
+++ b/sparbend/services/crash_watch.cc
@@ -1,6 +1,7 @@
-// A process that ends closes all its sockets, the listening one too: after
-// that its address refuses connections at once. A target that lives takes
-// them, and one that is cut off is silent.
+// When a process exits, the kernel closes all its sockets, including the
+// listening one. From then on its address refuses connections immediately. A
+// target that still runs accepts them, and one that is cut off does not
+// respond.
 #include "sparbend/services/crash_watch.h"
 
 #include <array>
@@ -10,9 +11,10 @@
 namespace sparbend {
 namespace {
 
-// The second look is for a target that closed its listening socket last.
-constexpr std::array kLooks = {Millis(5), Millis(150)};
-constexpr size_t kMostNamed = 8;  // fingerprints in a line of the log
+// Waits before each probe after an interruption. The second probe is for a
+// target whose listening socket was closed last.
+constexpr std::array kProbeDelays = {Millis(5), Millis(150)};
+constexpr size_t kMaxLoggedFingerprints = 8;  // in one log event
 
 }  // namespace
 
@@ -21,72 +23,75 @@
   metrics_ = kernel_->Find<Metrics>("metrics");
 }
 
-void CrashWatch::OnBroken(RequestContext* exchange,
-                          const Slot& slot,
-                          const Connection& connection) {
-  // A planned end proves nothing.
+void CrashWatch::OnInterrupted(RequestContext* context,
+                               const Slot& slot,
+                               const Connection& connection) {
+  // A planned exit does not make its requests suspect.
   if (scheduler_->node().TargetLeaving(slot.id))
     return;
-  if (!exchange->fingerprint)
-    exchange->fingerprint = FingerprintOf(*exchange);
-  const InterruptedAttempt run = {*exchange->fingerprint, exchange->stamp,
-                                  connection.made_at, connection.sent_at};
+  if (!context->fingerprint)
+    context->fingerprint = FingerprintOf(*context);
+  const InterruptedAttempt attempt = {
+      *context->fingerprint, context->suspicion_version,
+      connection.connected_at, connection.sent_at};
   Log(LogLevel::kInfo, "run-broken",
-      {{"request", exchange->request_id},
-       {"caller_id", exchange->caller_id},
+      {{"request", context->request_id},
+       {"caller_id", context->caller_id},
        {"target", slot.target},
-       {"fingerprint", ToString(run.request)},
-       {"ran_ms", (kernel_->Now() - run.began).count()}});
-  if (runs_.Add(slot.id, run, kernel_->Now()))
-    NoteEnded(slot, {run});
-  else if (looking_.insert(slot.id).second)
-    kernel_->Spawn("crash-look", Look(slot));
+       {"fingerprint", ToString(attempt.request)},
+       {"ran_ms", (kernel_->Now() - attempt.began).count()}});
+  if (interrupted_attempts_.Add(slot.id, attempt, kernel_->Now()))
+    ReportExit(slot, {attempt});
+  else if (probed_targets_.insert(slot.id).second)
+    kernel_->Spawn("crash-look", ProbeForExit(slot));
 }
 
-void CrashWatch::OnRefused(const Slot& slot) {
-  const std::vector<InterruptedAttempt> runs =
-      runs_.OnEnded(slot.id, kernel_->Now());
-  if (!runs.empty())
-    NoteEnded(slot, runs);
+void CrashWatch::OnConnectionRefused(const Slot& slot) {
+  const std::vector<InterruptedAttempt> attempts =
+      interrupted_attempts_.OnEnded(slot.id, kernel_->Now());
+  if (!attempts.empty())
+    ReportExit(slot, attempts);
 }
 
-void CrashWatch::OnAnswered(const Slot& slot, Millis began) {
-  const std::vector<InterruptedAttempt> runs = runs_.OnAnswered(slot.id, began);
-  if (runs.empty())
+void CrashWatch::OnAnswered(const Slot& slot, Millis sent_at) {
+  const std::vector<InterruptedAttempt> attempts =
+      interrupted_attempts_.OnAnswered(slot.id, sent_at);
+  if (attempts.empty())
     return;
   Log(LogLevel::kInfo, "target-lives",
-      {{"target", slot.target}, {"runs", runs.size()}});
-  for (const InterruptedAttempt& run : runs)
-    scheduler_->node().quarantine().ClearSuspicion(run.request, run.stamp,
-                                                   kernel_->Now());
+      {{"target", slot.target}, {"runs", attempts.size()}});
+  for (const InterruptedAttempt& attempt : attempts)
+    scheduler_->node().quarantine().ClearSuspicion(
+        attempt.request, attempt.stamp, kernel_->Now());
 }
 
-auto CrashWatch::Look(Slot slot) -> asio::awaitable<void> {
-  for (const Millis pause : kLooks) {
-    co_await Sleep(pause);
+auto CrashWatch::ProbeForExit(Slot slot) -> asio::awaitable<void> {
+  for (const Millis delay : kProbeDelays) {
+    co_await Sleep(delay);
     if (co_await TryConnect(slot.address, connect_time_) !=
         asio::error::connection_refused)
       continue;
-    OnRefused(slot);
+    OnConnectionRefused(slot);
     break;
   }
-  looking_.erase(slot.id);
+  probed_targets_.erase(slot.id);
 }
 
-void CrashWatch::NoteEnded(const Slot& slot,
-                           const std::vector<InterruptedAttempt>& runs) {
+void CrashWatch::ReportExit(const Slot& slot,
+                            const std::vector<InterruptedAttempt>& attempts) {
   Json fingerprints = Json::array();
-  for (const InterruptedAttempt& run : runs) {
-    if (fingerprints.size() < kMostNamed)
-      fingerprints.push_back(ToString(run.request));
+  for (const InterruptedAttempt& attempt : attempts) {
+    if (fingerprints.size() < kMaxLoggedFingerprints)
+      fingerprints.push_back(ToString(attempt.request));
   }
-  metrics_->runs_ended_with_target.Increment(static_cast<double>(runs.size()));
+  metrics_->runs_ended_with_target.Increment(
+      static_cast<double>(attempts.size()));
   Log(LogLevel::kWarning, "target-ended",
       {{"target", slot.target},
-       {"runs", runs.size()},
+       {"runs", attempts.size()},
        {"fingerprints", fingerprints}});
-  for (const InterruptedAttempt& run : runs)
-    scheduler_->OnTargetExit(run.request, run.stamp);
+  for (const InterruptedAttempt& attempt : attempts)
+    scheduler_->OnTargetExit(attempt.request, attempt.stamp);
 }
 
 }  // namespace sparbend
--- a/sparbend/services/crash_watch.h
+++ b/sparbend/services/crash_watch.h
@@ -1,5 +1,6 @@
-// The service "crash-watch": finds out whether a target ended when connections
-// to it broke, and tells the quarantine which requests it had then.
+// The service "crash-watch": finds out whether a target exited when connections
+// to it broke, and reports the requests that it was executing to the
+// quarantine.
 #ifndef SPARBEND_SERVICES_CRASH_WATCH_H_
 #define SPARBEND_SERVICES_CRASH_WATCH_H_
 
@@ -23,26 +24,31 @@
 
   void Start() override;
 
-  // The connection ended, by no doing of this box, while the target of `slot`
-  // had the request.
-  void OnBroken(RequestContext* exchange,
-                const Slot& slot,
-                const Connection& connection);
-  // Nobody listens at the target's address.
-  void OnRefused(const Slot& slot);
-  // The target answered a request that was sent at `began`.
-  void OnAnswered(const Slot& slot, Millis began);
+  // `connection` broke while the target of `slot` had the request, and this box
+  // did not close it. Sets the fingerprint of the request.
+  void OnInterrupted(RequestContext* context,
+                     const Slot& slot,
+                     const Connection& connection);
+  // The target's address refused a connection: no process listens there.
+  void OnConnectionRefused(const Slot& slot);
+  // The target answered a request that was sent at `sent_at`. Clears the
+  // suspicions of attempts that were reported for an exit before that time.
+  void OnAnswered(const Slot& slot, Millis sent_at);
 
  private:
-  auto Look(Slot slot) -> asio::awaitable<void>;
-  void NoteEnded(const Slot& slot, const std::vector<InterruptedAttempt>& runs);
+  // Connects to the target of `slot` to see whether it exited.
+  auto ProbeForExit(Slot slot) -> asio::awaitable<void>;
+  // Reports `attempts`, which the target of `slot` was executing when it
+  // exited.
+  void ReportExit(const Slot& slot,
+                  const std::vector<InterruptedAttempt>& attempts);
 
   Kernel* kernel_;
   Millis connect_time_;
   std::shared_ptr<Scheduler> scheduler_;
   std::shared_ptr<Metrics> metrics_;
-  InterruptedAttempts runs_;
-  std::set<TargetId> looking_;
+  InterruptedAttempts interrupted_attempts_;
+  std::set<TargetId> probed_targets_;  // with a ProbeForExit under way
 };
 
 }  // namespace sparbend
--- a/sparbend/services/dependency.cc
+++ b/sparbend/services/dependency.cc
@@ -7,17 +7,18 @@
 namespace sparbend {
 namespace {
 
-// A refused call costs as much as another; half of the two seconds in which a
-// change must be in force after an outage.
-constexpr int64_t kFirstPauseMs = 125;
-constexpr int64_t kLongestPauseMs = 1'000;
-constexpr int kDoublings = 3;
+// A refused call costs as much as any other, so calls are spaced out during an
+// outage. The longest delay is half of the two seconds within which a change
+// must be active after an outage.
+constexpr int64_t kInitialRetryDelayMs = 125;
+constexpr int64_t kMaxRetryDelayMs = 1'000;
+constexpr int kMaxDoublings = 3;
 
 }  // namespace
 
 void Dependency::OnGood(Millis now) {
   last_good_ = now;
-  bad_in_a_row_ = 0;
+  consecutive_failures_ = 0;
   if (!lost_)
     return;
   lost_ = false;
@@ -26,7 +27,7 @@
 }
 
 void Dependency::OnBad(const std::string& why, Millis now) {
-  ++bad_in_a_row_;
+  ++consecutive_failures_;
   if (lost_)
     return;
   lost_ = true;
@@ -39,8 +40,9 @@
 }
 
 auto Dependency::pause() const -> Millis {
-  return Millis(std::min(kLongestPauseMs,
-                         kFirstPauseMs << std::min(bad_in_a_row_, kDoublings)));
+  return Millis(std::min(
+      kMaxRetryDelayMs,
+      kInitialRetryDelayMs << std::min(consecutive_failures_, kMaxDoublings)));
 }
 
 }  // namespace sparbend
--- a/sparbend/services/dependency.h
+++ b/sparbend/services/dependency.h
@@ -1,5 +1,6 @@
-// Tells in the log when something this box depends on is lost or regained,
-// once each, with how long it was away.
+// Tracks whether something that this box depends on, such as a store, is
+// available. Logs each loss and each recovery once, with the duration of the
+// outage.
 #ifndef SPARBEND_SERVICES_DEPENDENCY_H_
 #define SPARBEND_SERVICES_DEPENDENCY_H_
 
@@ -13,21 +14,21 @@
  public:
   explicit Dependency(std::string name) : name_(std::move(name)) {}
 
-  // A use of it ended well, or did not; `why` is for the log.
+  // Record the result of a call; `why` is the error for the log.
   void OnGood(Millis now);
   void OnBad(const std::string& why, Millis now);
 
   auto lost() const -> bool { return lost_; }
-  // How long to wait before it is tried again: longer the more tries in a row
-  // ended badly.
+  // How long to wait before the next call: longer the more calls in a row have
+  // failed, up to 1 s.
   auto pause() const -> Millis;
-  // When it was last known to be there; zero: never yet.
+  // When a call last succeeded; zero: never.
   auto last_good() const -> Millis { return last_good_; }
 
  private:
   std::string name_;
   bool lost_ = false;
-  int bad_in_a_row_ = 0;
+  int consecutive_failures_ = 0;
   Millis lost_since_;
   Millis last_good_;
 };
--- a/sparbend/services/forward.cc
+++ b/sparbend/services/forward.cc
@@ -1,19 +1,21 @@
 // The verdict changes at two places only: it becomes may-have-run before the
-// first byte is handed to the kernel, and ran when the target's answer is
-// read to its end. A target may take it back to not-run by saying so itself
-// in its answer.
+// first byte is passed to the kernel, and ran when the target's answer has been
+// read to its end. A target may reset it to not-run by stating so in its
+// answer.
 //
-// The request is written while the answer is already awaited: a target may
-// answer before it has read a long body, and would else be waited for by
-// somebody who waits for it. A connection on which that happened ends.
+// The request is written and the answer read at the same time: a target may
+// answer before it has read a long body, and waiting for the end of the write
+// first could then block both sides. A connection on which the answer ended
+// before the write is closed.
 //
-// A non-repeatable request gets a fresh connection, or one that rested so
-// shortly that the target has no reason to close it: else it may close at the
-// very moment of writing, and then nobody could tell.
+// A request that must not be repeated gets a new connection, or one that has
+// been idle so briefly that the target has no reason to close it. Otherwise the
+// target might close the connection just as the request is written, and whether
+// the request was executed would be unknown.
 //
-// Streams are sent on in whole events. So the caller never holds a part of
-// one, and a broken stream can go on after the last event it has, at the same
-// target or, where the route allows, at another.
+// Streams are relayed in complete events. So the client never has a part of an
+// event, and an interrupted stream can continue after the last event that the
+// client has, at the same target or, where the route allows it, at another.
 #include "sparbend/services/forward.h"
 
 #include <netinet/tcp.h>
@@ -27,33 +29,39 @@
 namespace sparbend {
 namespace {
 
-// Of an answer, read at once; each request under way has a buffer or two.
-constexpr size_t kPieceBytes = 4 * 1024;
-constexpr uint32_t kAnswerHeaderBytes = 16 * 1024;
-// A longer answer that is no stream is sent on as it comes.
-constexpr size_t kWholeBytes = 1024 * 1024;
-constexpr int kMaxResumes = 3;
-// Answers on a kept connection that belong to earlier requests.
-constexpr int kMostForeign = 2;
-constexpr Millis kExpiryStep = Millis(500);
-// Unacknowledged bytes and unanswered probes that end a connection: a target
-// without power says nothing. Well over a few lost packets' repeats.
-constexpr int kUserTimeoutMs = 1'500;
-constexpr int kProbeIdleS = 1;
-constexpr int kProbeIntervalS = 1;
-constexpr int kProbeCount = 2;
+// Bytes of an answer that one read takes. Each active request has one or two
+// buffers of this size.
+constexpr size_t kReadBufferBytes = 4 * 1024;
+constexpr uint32_t kMaxAnswerHeaderBytes = 16 * 1024;
+// An answer that is not a stream is buffered up to this size; the rest is
+// relayed as it arrives.
+constexpr size_t kMaxBufferedAnswerBytes = 1024 * 1024;
+constexpr int kMaxResumes = 3;  // of a stream in one attempt
+// Answers to earlier requests that are skipped on a reused connection.
+constexpr int kMaxForeignAnswers = 2;
+constexpr Millis kExpiryRenewalInterval = Millis(500);
+// TCP user timeout and keep-alive probes. A target that has lost power does not
+// close its connections, so they end when bytes stay unacknowledged or probes
+// unanswered. The times leave room for the retransmission of a few lost
+// packets.
+constexpr int kTcpUserTimeoutMs = 1'500;
+constexpr int kTcpKeepAliveIdleSeconds = 1;
+constexpr int kTcpKeepAliveIntervalSeconds = 1;
+constexpr int kTcpKeepAliveProbes = 2;
 constexpr unsigned kFirstServerError = 500;
-// A round trip and the reading of its result; a target takes longer to begin a
-// request and end under it.
-constexpr Millis kDeadAlready = Millis(20);
+// A reused connection that breaks within this time after the request was sent
+// had been closed before: the time is enough for a round trip and for reading
+// its result, and a target takes longer to begin a request and crash while
+// executing it.
+constexpr Millis kStaleConnectionErrorTime = Millis(20);
 
 auto Failed(Verdict verdict, std::string problem, TargetOutcome outcome)
     -> AttemptResult {
   return {false, verdict, std::move(problem), true, outcome};
 }
 
-// Whether `error` tells that the other side ended the connection.
-auto EndedByPeer(const boost::system::error_code& error) -> bool {
+// Whether `error` means that the target closed the connection.
+auto ClosedByTarget(const boost::system::error_code& error) -> bool {
   return error == http::error::partial_message ||
          error == http::error::end_of_stream || error == asio::error::eof ||
          error == asio::error::connection_reset ||
@@ -61,17 +69,17 @@
          error == asio::error::broken_pipe;
 }
 
-auto BrokenOff(const std::string& what,
-               const boost::system::error_code& error,
-               TargetOutcome outcome) -> AttemptResult {
+auto Interrupted(const std::string& what,
+                 const boost::system::error_code& error,
+                 TargetOutcome outcome) -> AttemptResult {
   AttemptResult result =
       Failed(Verdict::kMayHaveRun, what + ": " + error.message(), outcome);
-  result.broke = EndedByPeer(error);
+  result.interrupted = ClosedByTarget(error);
   return result;
 }
 
-// A target that refuses a connection at once may be full; one that is silent
-// is dead or cut off.
+// A target that refuses a connection immediately may be full; one that does not
+// respond is down or cut off.
 auto OutcomeOf(const Error& error) -> TargetOutcome {
   if (error.code == Errc::kTimeout)
     return TargetOutcome::kNoConnection;
@@ -79,20 +87,22 @@
                                       : TargetOutcome::kUnreachable;
 }
 
-// Why no connection was made.
-auto CodeOf(const boost::system::error_code& error) -> Errc {
+// The error code for a failure to connect.
+auto ConnectErrorCode(const boost::system::error_code& error) -> Errc {
   if (error == beast::error::timeout)
     return Errc::kTimeout;
   return error == asio::error::connection_refused ? Errc::kRefused
                                                   : Errc::kUnreachable;
 }
 
-auto CallerLeft() -> AttemptResult {
-  return Failed(Verdict::kMayHaveRun, "the caller left", TargetOutcome::kGood);
+auto ClientDisconnected() -> AttemptResult {
+  return Failed(Verdict::kMayHaveRun, "the client disconnected",
+                TargetOutcome::kGood);
 }
 
-// Fields of the target's answer that are for the caller.
-auto AnswerHeader(const http::response_header<>& from)
+// The status and the fields of the target's answer that are for the client:
+// all but those of the connection.
+auto ClientAnswerHeader(const http::response_header<>& from)
     -> http::response_header<> {
   http::response_header<> header;
   header.result(from.result_int());
@@ -117,8 +127,9 @@
   return header;
 }
 
-// The target's "timeout=SECONDS" for a resting connection, or zero.
-auto KeepTime(const http::response_header<>& header) -> Millis {
+// How long the target keeps an idle connection open, from "timeout=SECONDS" in
+// the Keep-Alive field; zero if it is not stated.
+auto KeepAliveTimeout(const http::response_header<>& header) -> Millis {
   constexpr std::string_view kTimeout = "timeout=";
   const std::string_view field = header[http::field::keep_alive];
   const size_t at = field.find(kTimeout);
@@ -136,21 +147,21 @@
   const auto set = [fd](int option, int value) {
     setsockopt(fd, IPPROTO_TCP, option, &value, sizeof(value));
   };
-  set(TCP_USER_TIMEOUT, kUserTimeoutMs);
-  set(TCP_KEEPIDLE, kProbeIdleS);
-  set(TCP_KEEPINTVL, kProbeIntervalS);
-  set(TCP_KEEPCNT, kProbeCount);
+  set(TCP_USER_TIMEOUT, kTcpUserTimeoutMs);
+  set(TCP_KEEPIDLE, kTcpKeepAliveIdleSeconds);
+  set(TCP_KEEPINTVL, kTcpKeepAliveIntervalSeconds);
+  set(TCP_KEEPCNT, kTcpKeepAliveProbes);
 }
 
 }  // namespace
 
-// A request being written; lives until its last byte is, or the connection
-// ends.
-struct Forward::Sending {
+// A request that is being written. Lives until its last byte is written or the
+// connection ends.
+struct Forward::RequestWrite {
   StringRequest request;
   bool done = false;
   bool failed = false;
-  size_t sent = 0;  // bytes handed to the kernel, once done
+  size_t sent = 0;  // bytes passed to the kernel; set when done
 };
 
 Forward::Forward(Kernel* kernel, const Settings& settings)
@@ -161,81 +172,81 @@
 void Forward::Start() {
   scheduler_ = kernel_->Find<Scheduler>("scheduler");
   metrics_ = kernel_->Find<Metrics>("metrics");
-  caller_dialect_ = kernel_->Find<ClientProtocol>("caller-dialect");
-  dialect_ = kernel_->Find<TargetProtocol>("target-dialect");
+  client_protocol_ = kernel_->Find<ClientProtocol>("caller-dialect");
+  target_protocol_ = kernel_->Find<TargetProtocol>("target-dialect");
   probe_ = kernel_->Find<TargetProbe>("target-probe");
   crash_watch_ = kernel_->Find<CrashWatch>("crash-watch");
 }
 
-auto Forward::LongestRest(const RequestContext& exchange) const -> Millis {
-  if (exchange.progress.began)
+auto Forward::MaxIdleTime(const RequestContext& context) const -> Millis {
+  if (context.progress.began)
     return Millis(0);
-  return exchange.once ? settings_.once_rest_time : settings_.rest_time;
+  return context.once ? settings_.once_rest_time : settings_.rest_time;
 }
 
-auto Forward::Connect(RequestContext* exchange, const Slot& slot)
+auto Forward::Connect(RequestContext* context, const Slot& slot)
     -> asio::awaitable<Result<std::shared_ptr<Connection>>> {
-  const Millis rest = LongestRest(*exchange);
-  if (rest > Millis(0)) {
-    if (auto kept = connections_.Take(slot.id, rest, kernel_->Now()))
-      co_return kept;
+  const Millis max_idle_time = MaxIdleTime(*context);
+  if (max_idle_time > Millis(0)) {
+    if (auto idle = connections_.Take(slot.id, max_idle_time, kernel_->Now()))
+      co_return idle;
   }
   auto connection =
       std::make_shared<Connection>(co_await asio::this_coro::executor);
-  exchange->cancel = [stream = &connection->stream] { stream->cancel(); };
+  context->cancel = [stream = &connection->stream] { stream->cancel(); };
   connection->stream.expires_after(
       std::chrono::milliseconds(settings_.connect_time.count()));
   const auto [error] =
       co_await connection->stream.async_connect(slot.address, kAwait);
-  exchange->cancel = nullptr;
+  context->cancel = nullptr;
   metrics_->connections.Increment();
   if (error)
-    co_return MakeError(CodeOf(error), error.message());
+    co_return MakeError(ConnectErrorCode(error), error.message());
   SetOptions(connection->stream.socket());
-  connection->made_at = kernel_->Now();
+  connection->connected_at = kernel_->Now();
   co_return connection;
 }
 
-auto Forward::LongestSilence(const RequestContext& exchange) const -> Millis {
-  const Millis left = exchange.deadline - kernel_->Now();
+auto Forward::ReadTimeout(const RequestContext& context) const -> Millis {
+  const Millis left = context.deadline - kernel_->Now();
   return std::max(Millis(1), std::min(left, settings_.silence_time));
 }
 
-void Forward::RenewExpiry(const RequestContext& exchange,
+void Forward::RenewExpiry(const RequestContext& context,
                           Connection* connection) {
-  Millis span = LongestSilence(exchange);
-  // A repeatable request whose answer has not begun is better off elsewhere
-  // while there is time.
-  if (exchange.first_byte_limit > Millis(0) && !exchange.progress.began)
-    span = std::min(span, exchange.first_byte_limit);
+  Millis span = ReadTimeout(context);
+  // A repeatable request whose answer has not begun is better tried at another
+  // target while there is time.
+  if (context.first_byte_limit > Millis(0) && !context.progress.began)
+    span = std::min(span, context.first_byte_limit);
   connection->stream.expires_after(std::chrono::milliseconds(span.count()));
-  connection->expiry_set = kernel_->Now();
+  connection->expiry_renewed_at = kernel_->Now();
 }
 
-auto Forward::StartSending(RequestContext* exchange,
-                           const Slot& slot,
-                           const std::shared_ptr<Connection>& connection)
-    -> std::shared_ptr<Sending> {
-  auto sending = std::make_shared<Sending>();
+auto Forward::StartWrite(RequestContext* context,
+                         const Slot& slot,
+                         const std::shared_ptr<Connection>& connection)
+    -> std::shared_ptr<RequestWrite> {
+  auto write = std::make_shared<RequestWrite>();
   const std::string resume_after =
-      exchange->progress.began ? exchange->progress.meter.last_event_id() : "";
-  sending->request = dialect_->request_head(
-      *exchange, slot, exchange->deadline - kernel_->Now(), resume_after);
-  sending->request.body() = exchange->request.body();
-  sending->request.prepare_payload();
+      context->progress.began ? context->progress.meter.last_event_id() : "";
+  write->request = target_protocol_->request_head(
+      *context, slot, context->deadline - kernel_->Now(), resume_after);
+  write->request.body() = context->request.body();
+  write->request.prepare_payload();
   http::async_write(
-      connection->stream, sending->request,
-      [sending, connection](boost::system::error_code error, size_t sent) {
-        sending->done = true;
-        sending->failed = error.failed();
-        sending->sent = sent;
+      connection->stream, write->request,
+      [write, connection](boost::system::error_code error, size_t sent) {
+        write->done = true;
+        write->failed = error.failed();
+        write->sent = sent;
         if (error)
           connection->stream.cancel();  // no answer will come
       });
-  return sending;
+  return write;
 }
 
-void Forward::NoteTarget(const Slot& slot, const AnswerFacts& facts) {
+void Forward::ReportTargetState(const Slot& slot, const AnswerFacts& facts) {
   if (facts.leaving)
     scheduler_->OnTargetLeaving(slot.id);
   if (facts.running)
@@ -252,60 +263,62 @@
          Millis(0);
 }
 
-// Reads heads until one is this request's. Answers that belong to earlier
-// requests are read and thrown away.
-auto Forward::ReadHead(const RequestContext& exchange,
-                       const Slot& slot,
-                       Connection* connection,
-                       const Sending& sending,
-                       std::unique_ptr<Parser>* parser,
-                       AnswerFacts* facts) -> asio::awaitable<AttemptResult> {
-  std::array<char, kPieceBytes> piece;
-  for (int foreign = 0; foreign <= kMostForeign; ++foreign) {
+// Reads headers until one is this request's. Answers to earlier requests are
+// read and discarded.
+auto Forward::ReadHeader(const RequestContext& context,
+                         const Slot& slot,
+                         Connection* connection,
+                         const RequestWrite& write,
+                         std::unique_ptr<Parser>* parser,
+                         AnswerFacts* facts) -> asio::awaitable<AttemptResult> {
+  std::array<char, kReadBufferBytes> piece;
+  for (int foreign_answers = 0; foreign_answers <= kMaxForeignAnswers;
+       ++foreign_answers) {
     *parser = std::make_unique<Parser>();
     Parser& current = **parser;
-    current.header_limit(kAnswerHeaderBytes);
+    current.header_limit(kMaxAnswerHeaderBytes);
     current.body_limit(boost::none);
     const auto [error, received] = co_await http::async_read_header(
         connection->stream, connection->buffer, current, kAwait);
     if (error) {
-      if (sending.failed && sending.sent == 0)
-        co_return AttemptResult{false, Verdict::kNotRun,
-                                "the request could not be sent", false,
-                                TargetOutcome::kUnreachable};
+      if (write.failed && write.sent == 0)
+        co_return AttemptResult{
+            false, Verdict::kNotRun,
+            "the request could not be written to the connection", false,
+            TargetOutcome::kUnreachable};
       AttemptResult broken =
-          BrokenOff("no proper answer", error,
-                    connection->reused ? TargetOutcome::kGood
-                                       : TargetOutcome::kUnreachable);
-      // A kept connection that was dead already breaks as it is used: the
-      // request reached nobody, and ended nobody.
-      const bool dead_already =
+          Interrupted("no valid answer header received", error,
+                      connection->reused ? TargetOutcome::kGood
+                                         : TargetOutcome::kUnreachable);
+      // A stale connection, which was closed already, breaks as soon as it is
+      // used: the request reached no process, so it crashed none.
+      const bool was_stale =
           connection->reused &&
-          kernel_->Now() - connection->sent_at < kDeadAlready;
-      broken.broke = broken.broke && !dead_already;
+          kernel_->Now() - connection->sent_at < kStaleConnectionErrorTime;
+      broken.interrupted = broken.interrupted && !was_stale;
       co_return broken;
     }
-    *facts = dialect_->read_answer(exchange, current.get().base());
-    NoteTarget(slot, *facts);
+    *facts = target_protocol_->read_answer(context, current.get().base());
+    ReportTargetState(slot, *facts);
     if (facts->kind != AnswerFacts::Kind::kForeign)
       co_return AttemptResult{true, Verdict::kMayHaveRun, "", true,
                               TargetOutcome::kGood};
-    connection->suspect = true;
+    connection->must_close = true;
     metrics_->foreign_answers.Increment();
     while (!current.is_done() && !current.need_eof()) {
       size_t size = 0;
-      if (co_await ReadPiece(exchange, connection, &current, piece, &size))
+      if (co_await ReadPiece(context, connection, &current, piece, &size))
         break;
     }
     if (!current.is_done())
       break;
   }
   co_return Failed(Verdict::kMayHaveRun,
-                   "only answers to other requests came: " + facts->why,
+                   "received only answers to other requests: " + facts->why,
                    TargetOutcome::kFailed);
 }
 
-auto Forward::ReadPiece(const RequestContext& exchange,
+auto Forward::ReadPiece(const RequestContext& context,
                         Connection* connection,
                         Parser* parser,
                         std::span<char> piece,
@@ -317,9 +330,10 @@
       connection->stream, connection->buffer, *parser, kAwait);
   if (error == http::error::need_buffer)
     error = {};
-  // Renewing for each token would cost more than relaying it.
-  if (!error && kernel_->Now() - connection->expiry_set >= kExpiryStep)
-    RenewExpiry(exchange, connection);
+  // Renewing the expiry for each token would cost more than relaying it.
+  if (!error &&
+      kernel_->Now() - connection->expiry_renewed_at >= kExpiryRenewalInterval)
+    RenewExpiry(context, connection);
   *size = piece.size() - parser->get().body().size;
   co_return error;
 }
@@ -330,7 +344,7 @@
                          size_t* size)
     -> asio::awaitable<boost::system::error_code> {
   boost::system::error_code error;
-  // A full piece left bytes behind that may be events already.
+  // If the last read filled the piece, the buffer may hold further events.
   if (*size < piece.size()) {
     const auto [failed, received] =
         co_await connection->stream.socket().async_read_some(
@@ -351,154 +365,158 @@
   co_return error;
 }
 
-void Forward::Account(RequestContext* exchange) {
-  const Pool& pool = *exchange->pool;
+void Forward::CountTokens(RequestContext* context) {
+  const Pool& pool = *context->pool;
   if (pool.kind == PoolKind::kService) {
-    exchange->tokens = pool.call_cost;
+    context->tokens = pool.call_cost;
     return;
   }
-  const UsageMeter& meter = exchange->progress.meter;
+  const UsageMeter& meter = context->progress.meter;
   const UsageMeter::Usage usage = meter.FinalUsage();
-  // Without the engine's own word, the caller's facts and the events are the
-  // best guess; some events carry no token.
+  // If the engine reports no usage, the best estimate is the prompt length that
+  // the client stated and the number of events, some of which carry no token.
   const int64_t input =
-      usage.prompt > 0 ? usage.prompt : exchange->work.prompt_tokens;
+      usage.prompt > 0 ? usage.prompt : context->work.prompt_tokens;
   const int64_t output = usage.completion > 0
                              ? usage.completion
                              : meter.events() * pool.tokens_per_event;
-  exchange->tokens = input * pool.input_weight + output * pool.output_weight;
+  context->tokens = input * pool.input_weight + output * pool.output_weight;
 }
 
-void Forward::NoteBytes(RequestContext* exchange) {
-  scheduler_->OnBytes(exchange->id);
-  if (exchange->first_byte > Millis(0))
+void Forward::RecordBytes(RequestContext* context) {
+  scheduler_->OnBytes(context->id);
+  if (context->first_byte > Millis(0))
     return;
-  exchange->first_byte = kernel_->Now();
+  context->first_byte = kernel_->Now();
   metrics_->first_byte_seconds.Observe(
-      static_cast<double>((exchange->first_byte - exchange->received).count()) /
+      static_cast<double>((context->first_byte - context->received).count()) /
       1'000);
 }
 
-// Sends on the whole events among what has come.
-auto Forward::RelayPiece(RequestContext* exchange, std::string_view bytes)
+// Relays the events that are complete with `bytes`, and keeps the rest.
+auto Forward::RelayPiece(RequestContext* context, std::string_view bytes)
     -> asio::awaitable<bool> {
-  AnswerProgress& progress = exchange->progress;
-  const int64_t held_from =
-      progress.meter.bytes() - static_cast<int64_t>(progress.held.size());
+  AnswerProgress& progress = context->progress;
+  const int64_t event_start =
+      progress.meter.bytes() -
+      static_cast<int64_t>(progress.incomplete_event.size());
   progress.meter.Feed(bytes);
-  progress.held += bytes;
-  const int64_t whole_now = progress.meter.whole_bytes() - held_from;
-  if (whole_now <= 0)
+  progress.incomplete_event += bytes;
+  const int64_t complete_bytes = progress.meter.whole_bytes() - event_start;
+  if (complete_bytes <= 0)
     co_return true;
   const std::string ready =
-      progress.held.substr(0, static_cast<size_t>(whole_now));
-  progress.held.erase(0, static_cast<size_t>(whole_now));
-  co_return co_await exchange->caller->Send(ready, true);
+      progress.incomplete_event.substr(0, static_cast<size_t>(complete_bytes));
+  progress.incomplete_event.erase(0, static_cast<size_t>(complete_bytes));
+  co_return co_await context->client->Send(ready, true);
 }
 
-auto Forward::RelayStream(RequestContext* exchange,
+auto Forward::RelayStream(RequestContext* context,
                           Connection* connection,
                           Parser* parser) -> asio::awaitable<AttemptResult> {
-  std::array<char, kPieceBytes> piece;
-  AnswerProgress& progress = exchange->progress;
+  std::array<char, kReadBufferBytes> piece;
+  AnswerProgress& progress = context->progress;
   IdleGuard guard(&connection->stream.socket());
-  // All events that have come are taken together, and sent on in one write; a
-  // reading operation of the library would wait for more.
+  // All events that have arrived are relayed in one write. That needs `eager`
+  // and ReadEvents, because Beast's read operations would wait for more bytes.
   parser->eager(true);
-  // As if a piece had been full: the head may have come with events.
+  // Starts as after a read that filled the piece: events may have arrived with
+  // the header.
   size_t size = piece.size();
   while (!parser->is_done()) {
-    guard.Begin(LongestSilence(*exchange));
+    guard.Begin(ReadTimeout(*context));
     const auto error = co_await ReadEvents(connection, parser, piece, &size);
     guard.End();
     if (size > 0) {
-      NoteBytes(exchange);
-      const bool sent = co_await RelayPiece(exchange, {piece.data(), size});
-      scheduler_->Progress(exchange->id, progress.meter.events() *
-                                             exchange->pool->output_weight);
-      if (!sent && (!exchange->once || !exchange->finish_unwatched))
-        co_return CallerLeft();
+      RecordBytes(context);
+      const bool sent = co_await RelayPiece(context, {piece.data(), size});
+      scheduler_->Progress(
+          context->id, progress.meter.events() * context->pool->output_weight);
+      if (!sent && (!context->once || !context->finish_unwatched))
+        co_return ClientDisconnected();
     }
     if (error)
-      co_return BrokenOff("the answer broke off", error,
-                          TargetOutcome::kFailed);
+      co_return Interrupted("the answer was interrupted", error,
+                            TargetOutcome::kFailed);
   }
-  if (!progress.held.empty())
-    co_await exchange->caller->Send(progress.held, true);
-  progress.held.clear();
-  co_await exchange->caller->Send({}, false);
+  if (!progress.incomplete_event.empty())
+    co_await context->client->Send(progress.incomplete_event, true);
+  progress.incomplete_event.clear();
+  co_await context->client->Send({}, false);
   co_return AttemptResult{true, Verdict::kRan, "", true, TargetOutcome::kGood};
 }
 
-// Answers that are no streams are read whole before the caller gets a byte,
-// so that a broken one can still be made good.
-auto Forward::RelayWhole(RequestContext* exchange,
-                         Connection* connection,
-                         Parser* parser) -> asio::awaitable<AttemptResult> {
-  std::array<char, kPieceBytes> piece;
+// An answer that is not a stream is read completely, up to
+// kMaxBufferedAnswerBytes, before the client gets a byte of it: if it is
+// interrupted, another attempt can still be made.
+auto Forward::RelayBuffered(RequestContext* context,
+                            Connection* connection,
+                            Parser* parser) -> asio::awaitable<AttemptResult> {
+  std::array<char, kReadBufferBytes> piece;
   std::string body;
-  while (!parser->is_done() && body.size() < kWholeBytes) {
+  while (!parser->is_done() && body.size() < kMaxBufferedAnswerBytes) {
     size_t size = 0;
     const auto error =
-        co_await ReadPiece(*exchange, connection, parser, piece, &size);
+        co_await ReadPiece(*context, connection, parser, piece, &size);
     body.append(piece.data(), size);
     if (error)
-      co_return BrokenOff("the answer broke off", error,
-                          TargetOutcome::kFailed);
+      co_return Interrupted("the answer was interrupted", error,
+                            TargetOutcome::kFailed);
   }
   const http::response_header<>& header = parser->get().base();
   const bool failure = header.result_int() >= kFirstServerError;
-  if (failure && !exchange->once && parser->is_done()) {
-    exchange->failed = FailedAnswer{AnswerHeader(header), std::move(body)};
-    co_return Failed(Verdict::kRan, "the target failed it",
+  if (failure && !context->once && parser->is_done()) {
+    context->failed_answer =
+        FailedAnswer{ClientAnswerHeader(header), std::move(body)};
+    co_return Failed(Verdict::kRan, "the target answered with a server error",
                      TargetOutcome::kFailed);
   }
   std::optional<uint64_t> length;
   if (parser->is_done())
     length = body.size();
-  http::response_header<> answer = AnswerHeader(header);
-  caller_dialect_->dress_answer(*exchange, &answer);
-  exchange->progress.began = true;
-  co_await exchange->caller->Begin(answer, length);
+  http::response_header<> answer = ClientAnswerHeader(header);
+  client_protocol_->dress_answer(*context, &answer);
+  context->progress.began = true;
+  co_await context->client->Begin(answer, length);
   if (!body.empty())
-    co_await exchange->caller->Send(body, true);
+    co_await context->client->Send(body, true);
   while (!parser->is_done()) {
     size_t size = 0;
     const auto error =
-        co_await ReadPiece(*exchange, connection, parser, piece, &size);
+        co_await ReadPiece(*context, connection, parser, piece, &size);
     if (size > 0)
-      co_await exchange->caller->Send({piece.data(), size}, true);
+      co_await context->client->Send({piece.data(), size}, true);
     if (error)
-      co_return BrokenOff("the answer broke off", error,
-                          TargetOutcome::kFailed);
+      co_return Interrupted("the answer was interrupted", error,
+                            TargetOutcome::kFailed);
   }
-  exchange->progress.meter.Feed(body);
-  co_await exchange->caller->Send({}, false);
+  context->progress.meter.Feed(body);
+  co_await context->client->Send({}, false);
   co_return AttemptResult{
       true, Verdict::kRan, "", true,
       failure ? TargetOutcome::kFailed : TargetOutcome::kGood};
 }
 
-auto Forward::SendFailed(RequestContext* exchange) -> asio::awaitable<bool> {
-  FailedAnswer& failed = *exchange->failed;
-  caller_dialect_->dress_answer(*exchange, &failed.header);
-  if (!co_await exchange->caller->Begin(failed.header, failed.body.size()))
+auto Forward::SendFailed(RequestContext* context) -> asio::awaitable<bool> {
+  FailedAnswer& failed = *context->failed_answer;
+  client_protocol_->dress_answer(*context, &failed.header);
+  if (!co_await context->client->Begin(failed.header, failed.body.size()))
     co_return false;
   if (!failed.body.empty())
-    co_await exchange->caller->Send(failed.body, true);
-  co_return co_await exchange->caller->Send({}, false);
+    co_await context->client->Send(failed.body, true);
+  co_return co_await context->client->Send({}, false);
 }
 
-auto Forward::ReadAnswer(RequestContext* exchange,
+auto Forward::ReadAnswer(RequestContext* context,
                          const Slot& slot,
                          Connection* connection,
-                         const Sending& sending)
+                         const RequestWrite& write)
     -> asio::awaitable<AttemptResult> {
   std::unique_ptr<Parser> parser;
   AnswerFacts facts;
   AttemptResult head =
-      co_await ReadHead(*exchange, slot, connection, sending, &parser, &facts);
-  if (!head.whole)
+      co_await ReadHeader(*context, slot, connection, write, &parser, &facts);
+  if (!head.complete)
     co_return head;
   if (facts.kind == AnswerFacts::Kind::kNotRun) {
     AttemptResult refused =
@@ -509,112 +527,116 @@
   if (facts.kind == AnswerFacts::Kind::kInvalid)
     co_return Failed(Verdict::kMayHaveRun, facts.why, TargetOutcome::kFailed);
   const http::response_header<>& header = parser->get().base();
-  AnswerProgress& progress = exchange->progress;
+  AnswerProgress& progress = context->progress;
   const bool good = header.result() == http::status::ok;
   if (progress.began && !good)
-    co_return Failed(Verdict::kMayHaveRun, "the stream was not resumed",
+    co_return Failed(Verdict::kMayHaveRun,
+                     "the target did not resume the stream",
                      TargetOutcome::kFailed);
-  connection->keep_time = KeepTime(header);
+  connection->keep_alive_timeout = KeepAliveTimeout(header);
   const bool stream =
-      good && (progress.began || exchange->streaming ||
+      good && (progress.began || context->streaming ||
                header[http::field::content_type].starts_with("text/event"));
   AttemptResult result;
   if (stream) {
-    progress.metered = true;
+    progress.is_stream = true;
     if (!progress.began) {
-      http::response_header<> answer = AnswerHeader(header);
-      caller_dialect_->dress_answer(*exchange, &answer);
+      http::response_header<> answer = ClientAnswerHeader(header);
+      client_protocol_->dress_answer(*context, &answer);
       progress.began = true;
       std::optional<uint64_t> length;
       if (const auto stated = parser->content_length())
         length = *stated;
-      co_await exchange->caller->Begin(answer, length);
+      co_await context->client->Begin(answer, length);
     }
-    result = co_await RelayStream(exchange, connection, parser.get());
+    result = co_await RelayStream(context, connection, parser.get());
   } else {
-    NoteBytes(exchange);
-    result = co_await RelayWhole(exchange, connection, parser.get());
+    RecordBytes(context);
+    result = co_await RelayBuffered(context, connection, parser.get());
   }
-  // An answer that came before the request was read leaves bytes on the way.
-  if (!parser->get().keep_alive() || parser->need_eof() || !sending.done)
-    connection->suspect = true;
+  // If the answer ended before the request was written, bytes of the request
+  // are still on the way.
+  if (!parser->get().keep_alive() || parser->need_eof() || !write.done)
+    connection->must_close = true;
   co_return result;
 }
 
-auto Forward::AttemptOnce(RequestContext* exchange, const Slot& slot)
+auto Forward::AttemptOnce(RequestContext* context, const Slot& slot)
     -> asio::awaitable<AttemptResult> {
   const Result<std::shared_ptr<Connection>> connected =
-      co_await Connect(exchange, slot);
+      co_await Connect(context, slot);
   if (!connected) {
     const TargetOutcome outcome = OutcomeOf(connected.error());
     if (outcome == TargetOutcome::kRefused)
-      crash_watch_->OnRefused(slot);
+      crash_watch_->OnConnectionRefused(slot);
     co_return AttemptResult{false, Verdict::kNotRun,
                             "no connection: " + connected.error().detail, false,
                             outcome};
   }
   const std::shared_ptr<Connection>& connection = *connected;
-  // The process may have been paused since it was given the slot.
-  if (kernel_->Now() >= exchange->deadline)
-    co_return AttemptResult{false, Verdict::kNotRun, "its time ran out", false,
-                            TargetOutcome::kGood};
-  // What is known of the target may have changed while the connection was made.
+  // The box's process may have been paused since it acquired the slot.
+  if (kernel_->Now() >= context->deadline)
+    co_return AttemptResult{false, Verdict::kNotRun,
+                            "the request's deadline passed before it was sent",
+                            false, TargetOutcome::kGood};
+  // The state of the target may have changed while the connection was made.
   if (scheduler_->node().TargetLeaving(slot.id))
-    co_return AttemptResult{false, Verdict::kNotRun, "the target leaves", false,
-                            TargetOutcome::kGood};
+    co_return AttemptResult{false, Verdict::kNotRun, "the target is leaving",
+                            false, TargetOutcome::kGood};
   if (BacksOff(slot))
     co_return AttemptResult{false, Verdict::kNotRun,
-                            "the target turns requests away for now", false,
-                            TargetOutcome::kGood};
+                            "the target has asked for no requests at present",
+                            false, TargetOutcome::kGood};
   if (scheduler_->node().ListOutOfDate(kernel_->Now()))
     co_return AttemptResult{false, Verdict::kNotRun,
                             "the list of targets is out of date", false,
                             TargetOutcome::kGood};
-  exchange->cancel = [stream = &connection->stream] { stream->cancel(); };
-  RenewExpiry(*exchange, connection.get());
+  context->cancel = [stream = &connection->stream] { stream->cancel(); };
+  RenewExpiry(*context, connection.get());
   connection->sent_at = kernel_->Now();
-  const std::shared_ptr<Sending> sending =
-      StartSending(exchange, slot, connection);
+  const std::shared_ptr<RequestWrite> write =
+      StartWrite(context, slot, connection);
   AttemptResult result =
-      co_await ReadAnswer(exchange, slot, connection.get(), *sending);
-  exchange->cancel = nullptr;
-  if (result.broke)
-    crash_watch_->OnBroken(exchange, slot, *connection);
-  else if (result.whole)
+      co_await ReadAnswer(context, slot, connection.get(), *write);
+  context->cancel = nullptr;
+  if (result.interrupted)
+    crash_watch_->OnInterrupted(context, slot, *connection);
+  else if (result.complete)
     crash_watch_->OnAnswered(slot, connection->sent_at);
-  const bool answered =
-      result.whole || (result.verdict == Verdict::kRan && exchange->failed);
-  if (answered && !connection->suspect && sending->done)
+  const bool answered = result.complete || (result.verdict == Verdict::kRan &&
+                                            context->failed_answer);
+  if (answered && !connection->must_close && write->done)
     connections_.Keep(slot.id, connection, kernel_->Now());
   else
     connection->stream.close();
   co_return result;
 }
 
-auto Forward::Attempt(RequestContext* exchange, const Slot& slot)
+auto Forward::Attempt(RequestContext* context, const Slot& slot)
     -> asio::awaitable<AttemptResult> {
-  AttemptResult result = co_await AttemptOnce(exchange, slot);
-  // The same run may be taken up again where it still goes on.
+  AttemptResult result = co_await AttemptOnce(context, slot);
+  // A target that continues the execution may let its stream be resumed.
   for (int resumes = 0; resumes < kMaxResumes; ++resumes) {
-    exchange->progress.held.clear();
-    exchange->progress.meter.DropPartial();
-    const bool can_resume = exchange->pool->can_resume &&
-                            exchange->progress.began &&
-                            !exchange->progress.meter.last_event_id().empty() &&
-                            !exchange->caller->gone();
-    if (result.whole || !can_resume)
+    context->progress.incomplete_event.clear();
+    context->progress.meter.DropPartial();
+    const bool can_resume = context->pool->can_resume &&
+                            context->progress.began &&
+                            !context->progress.meter.last_event_id().empty() &&
+                            !context->client->gone();
+    if (result.complete || !can_resume)
       break;
     metrics_->resumes.Increment();
-    // A target notices the break with its next write; asked before, it says
-    // that it has nothing to go on with.
-    co_await Sleep(Backoff(resumes + 1, exchange->id));
-    const AttemptResult resumed = co_await AttemptOnce(exchange, slot);
-    result = {resumed.whole, Combine(result.verdict, resumed.verdict),
+    // A target notices the broken connection only at its next write. Before
+    // that it would answer that there is no stream to resume.
+    co_await Sleep(Backoff(resumes + 1, context->id));
+    const AttemptResult resumed = co_await AttemptOnce(context, slot);
+    result = {resumed.complete, Combine(result.verdict, resumed.verdict),
               resumed.problem, true, resumed.outcome};
   }
-  Account(exchange);
-  if (exchange->caller->gone())
-    result.outcome = TargetOutcome::kGood;  // it was we who broke off
+  CountTokens(context);
+  // If the client is gone, this box ended the attempt, not the target.
+  if (context->client->gone())
+    result.outcome = TargetOutcome::kGood;
   scheduler_->OnOutcome(slot.id, result.outcome);
   if (result.outcome == TargetOutcome::kNoConnection)
     probe_->Watch(slot.id, slot.address);
--- a/sparbend/services/forward.h
+++ b/sparbend/services/forward.h
@@ -1,6 +1,6 @@
-// The service "forward": one attempt at one target. Writes the request,
-// relays the answer as it comes, and says what is known of the request's
-// fate.
+// The service "forward": makes one attempt at a target. Writes the request,
+// relays the answer to the client as it arrives, and reports whether the target
+// may have executed the request and what the attempt says about the target.
 #ifndef SPARBEND_SERVICES_FORWARD_H_
 #define SPARBEND_SERVICES_FORWARD_H_
 
@@ -19,13 +19,15 @@
 namespace sparbend {
 
 struct AttemptResult {
-  bool whole = false;  // the target's own answer reached its end
+  bool complete = false;  // the target's own answer was read to its end
   Verdict verdict = Verdict::kNotRun;
-  std::string problem;   // why it is not whole
-  bool arrived = false;  // some byte may have reached the target
-  TargetOutcome outcome = TargetOutcome::kGood;  // what it says of the target
-  bool broke = false;  // the other side ended the connection before the answer
-  // For which the target asked for no requests.
+  std::string problem;            // why it is not complete
+  bool may_have_arrived = false;  // some byte may have reached the target
+  // What the attempt says about the target.
+  TargetOutcome outcome = TargetOutcome::kGood;
+  // The target closed the connection before the answer was complete.
+  bool interrupted = false;
+  // How long the target asks for no further requests; zero: not stated.
   Millis retry_after = Millis(0);
 };
 
@@ -35,73 +37,92 @@
 
   void Start() override;
 
-  // Makes one attempt. `exchange->tokens` grows with the service received;
-  // `exchange->cancel` is set while it can be cut short. A failure of a
-  // repeatable request is kept in `exchange->failed`, not sent on.
-  auto Attempt(RequestContext* exchange, const Slot& slot)
+  // Makes one attempt, in which an interrupted stream may be resumed at the
+  // same target. Sets the context's `tokens` to the service received so far,
+  // and its `cancel` while the attempt can be cancelled. A server error in
+  // answer to a repeatable request is kept in `failed_answer` and not sent to
+  // the client.
+  auto Attempt(RequestContext* context, const Slot& slot)
       -> asio::awaitable<AttemptResult>;
-  // Sends on the failure kept before.
-  auto SendFailed(RequestContext* exchange) -> asio::awaitable<bool>;
+  // Sends the context's `failed_answer` to the client. False if the client is
+  // gone.
+  auto SendFailed(RequestContext* context) -> asio::awaitable<bool>;
 
  private:
   using Parser = http::response_parser<http::buffer_body>;
-  struct Sending;
+  struct RequestWrite;
 
-  auto Connect(RequestContext* exchange, const Slot& slot)
+  // Reuses an idle connection or makes a new one.
+  auto Connect(RequestContext* context, const Slot& slot)
       -> asio::awaitable<Result<std::shared_ptr<Connection>>>;
-  auto StartSending(RequestContext* exchange,
-                    const Slot& slot,
-                    const std::shared_ptr<Connection>& connection)
-      -> std::shared_ptr<Sending>;
-  auto ReadHead(const RequestContext& exchange,
-                const Slot& slot,
-                Connection* connection,
-                const Sending& sending,
-                std::unique_ptr<Parser>* parser,
-                AnswerFacts* facts) -> asio::awaitable<AttemptResult>;
-  auto ReadAnswer(RequestContext* exchange,
+  // Starts to write the request; the result changes as the write proceeds.
+  auto StartWrite(RequestContext* context,
+                  const Slot& slot,
+                  const std::shared_ptr<Connection>& connection)
+      -> std::shared_ptr<RequestWrite>;
+  // Reads the header of the answer. `complete` in the result means that it is
+  // this request's; `parser` then continues with the body.
+  auto ReadHeader(const RequestContext& context,
                   const Slot& slot,
                   Connection* connection,
-                  const Sending& sending) -> asio::awaitable<AttemptResult>;
-  auto RelayWhole(RequestContext* exchange,
+                  const RequestWrite& write,
+                  std::unique_ptr<Parser>* parser,
+                  AnswerFacts* facts) -> asio::awaitable<AttemptResult>;
+  auto ReadAnswer(RequestContext* context,
+                  const Slot& slot,
                   Connection* connection,
-                  Parser* parser) -> asio::awaitable<AttemptResult>;
-  auto RelayStream(RequestContext* exchange,
+                  const RequestWrite& write) -> asio::awaitable<AttemptResult>;
+  // Relays an answer that is not a stream.
+  auto RelayBuffered(RequestContext* context,
+                     Connection* connection,
+                     Parser* parser) -> asio::awaitable<AttemptResult>;
+  // Relays a stream of events.
+  auto RelayStream(RequestContext* context,
                    Connection* connection,
                    Parser* parser) -> asio::awaitable<AttemptResult>;
-  auto RelayPiece(RequestContext* exchange, std::string_view bytes)
+  auto RelayPiece(RequestContext* context, std::string_view bytes)
       -> asio::awaitable<bool>;
-  auto ReadPiece(const RequestContext& exchange,
+  // Reads up to `piece.size()` bytes of the body into `piece`; sets `size` to
+  // their number.
+  auto ReadPiece(const RequestContext& context,
                  Connection* connection,
                  Parser* parser,
                  std::span<char> piece,
                  size_t* size) -> asio::awaitable<boost::system::error_code>;
-  // The same for a stream's events, without a timer for each.
+  // Reads as ReadPiece does, for streams: takes all bytes that have arrived,
+  // and sets no timer for each read.
   auto ReadEvents(Connection* connection,
                   Parser* parser,
                   std::span<char> piece,
                   size_t* size) -> asio::awaitable<boost::system::error_code>;
-  auto AttemptOnce(RequestContext* exchange, const Slot& slot)
+  // Sends the request once and relays the answer, without resuming a stream.
+  auto AttemptOnce(RequestContext* context, const Slot& slot)
       -> asio::awaitable<AttemptResult>;
-  auto LongestRest(const RequestContext& exchange) const -> Millis;
-  void NoteBytes(RequestContext* exchange);
-  void Account(RequestContext* exchange);
-  void NoteTarget(const Slot& slot, const AnswerFacts& facts);
-  // Whether the target asked for no requests for now.
+  // How long a connection may have been idle to be reused for the request;
+  // zero: a new one is needed.
+  auto MaxIdleTime(const RequestContext& context) const -> Millis;
+  // Records that bytes of the answer have arrived.
+  void RecordBytes(RequestContext* context);
+  // Sets the context's `tokens` from the usage of the answer so far.
+  void CountTokens(RequestContext* context);
+  // Passes on to the scheduler what the target reports about itself.
+  void ReportTargetState(const Slot& slot, const AnswerFacts& facts);
+  // Whether the target of `slot` has asked for no requests at present.
   auto BacksOff(const Slot& slot) const -> bool;
 
-  // How long the target may be silent now.
-  auto LongestSilence(const RequestContext& exchange) const -> Millis;
-  // Gives the target until its silence is too long or the deadline passes.
-  void RenewExpiry(const RequestContext& exchange, Connection* connection);
+  // How long the target may send nothing before the attempt ends.
+  auto ReadTimeout(const RequestContext& context) const -> Millis;
+  // Sets the connection to expire after ReadTimeout, or after the limit for the
+  // first byte if that is shorter and the answer has not begun.
+  void RenewExpiry(const RequestContext& context, Connection* connection);
 
   Kernel* kernel_;
   Settings settings_;
   Connections connections_;
   std::shared_ptr<Scheduler> scheduler_;
   std::shared_ptr<Metrics> metrics_;
-  std::shared_ptr<ClientProtocol> caller_dialect_;
-  std::shared_ptr<TargetProtocol> dialect_;
+  std::shared_ptr<ClientProtocol> client_protocol_;
+  std::shared_ptr<TargetProtocol> target_protocol_;
   std::shared_ptr<TargetProbe> probe_;
   std::shared_ptr<CrashWatch> crash_watch_;
 };
--- a/sparbend/services/frontend.cc
+++ b/sparbend/services/frontend.cc
@@ -1,24 +1,25 @@
-// Checks come in the order of their cost: connection count, header size,
-// key, queue bounds; only then is the body read, and only then parsed. A
-// request refused with its body unread ends the connection.
+// Checks are made in the order of their cost: number of connections, size of
+// the header, API key, queue limits. Then the body is read, and then parsed. A
+// request whose body can't be read to its end ends the connection.
 #include "sparbend/services/frontend.h"
 
 #include "sparbend/core/digest.h"
 #include "sparbend/kernel/log.h"
 #include "sparbend/kernel/socket_peek.h"
-#include "sparbend/services/at_once.h"
+#include "sparbend/services/immediate_refusal.h"
 
 namespace sparbend {
 namespace {
 
-// What is still read, and thrown away, of a request refused early.
-constexpr std::chrono::seconds kLingerTime(1);
-constexpr size_t kLingerBytes = 16 * 1024 * 1024;
-constexpr Millis kRetryAfterStart = Millis(1'000);
-constexpr Millis kRetryAfterStop = Millis(50);
-// A box is flooded alone, as the balancer spreads callers unevenly: another
-// takes the caller at once.
-constexpr Millis kRetryAfterFlood = Millis(20);
+// Limits for reading and discarding the rest of a request that is refused
+// before it has been read to its end.
+constexpr std::chrono::seconds kDiscardTime(1);
+constexpr size_t kMaxDiscardedBytes = 16 * 1024 * 1024;
+constexpr Millis kRetryAfterStarting = Millis(1'000);
+constexpr Millis kRetryAfterStopping = Millis(50);
+// Usually a single box is overloaded, because the load balancer spreads clients
+// unevenly: another box can serve the client immediately.
+constexpr Millis kRetryAfterOverload = Millis(20);
 constexpr size_t kFirstReadBytes = 8'192;
 
 auto NotRun(int status, std::string reason, Millis retry_after = Millis(0))
@@ -26,23 +27,25 @@
   return {status, Verdict::kNotRun, std::move(reason), retry_after};
 }
 
-// The refusal for a request that could not be read, or nothing when the
-// caller simply closed its connection.
-auto RefusalOfRead(const boost::system::error_code& error, bool any_byte)
+// The refusal for a request that could not be read, or nothing if the client
+// just closed its connection.
+auto ReadErrorRefusal(const boost::system::error_code& error, bool any_byte)
     -> std::optional<Refusal> {
   if (error == http::error::header_limit)
-    return NotRun(431, "the header is too large");
+    return NotRun(431, "the request header is larger than allowed");
   if (error == http::error::body_limit)
-    return NotRun(413, "the body is too large");
+    return NotRun(413, "the request body is larger than allowed");
   if (error == beast::error::timeout)
-    return any_byte ? std::optional(NotRun(408, "the request came too slowly"))
+    return any_byte ? std::optional(
+                          NotRun(408, "the request was not received in time"))
                     : std::nullopt;
   const bool malformed =
       error.category() == make_error_code(http::error::bad_method).category() &&
       error != http::error::end_of_stream &&
       error != http::error::partial_message;
   return malformed
-             ? std::optional(NotRun(400, "not HTTP/1.1: " + error.message()))
+             ? std::optional(NotRun(400, "the request is not valid HTTP/1.1: " +
+                                             error.message()))
              : std::nullopt;
 }
 
@@ -53,7 +56,7 @@
   beast::tcp_stream stream;
   beast::flat_buffer buffer;
   bool closed = false;
-  bool refused = false;  // its next request is, since it waited too long
+  bool refuse_next = false;  // refuses the next request, which waited too long
 };
 
 Frontend::Frontend(Kernel* kernel,
@@ -65,33 +68,33 @@
 
 void Frontend::Start() {
   config_ = kernel_->Find<CatalogSource>("config");
-  dialect_ = kernel_->Find<ClientProtocol>("caller-dialect");
+  protocol_ = kernel_->Find<ClientProtocol>("caller-dialect");
   scheduler_ = kernel_->Find<Scheduler>("scheduler");
   runner_ = kernel_->Find<Runner>("runner");
   metrics_ = kernel_->Find<Metrics>("metrics");
-  AcceptingHooks hooks;
-  hooks.may_take = [this](size_t waiting) { return MayTake(waiting); };
+  ClientAcceptorHooks hooks;
+  hooks.may_accept = [this](size_t waiting) { return MayAccept(waiting); };
   hooks.serve = [this](tcp::socket socket) {
     kernel_->Spawn("front-connection", Serve(std::move(socket)));
   };
   hooks.refuse = [this](tcp::socket socket, Millis waited) {
     RefuseUnread(std::move(socket), waited);
   };
-  accepting_ =
+  acceptor_ =
       std::make_unique<ClientAcceptor>(kernel_, metrics_, std::move(hooks));
   if (const std::error_code error =
-          accepting_->Listen(*ParseAddress(settings_.caller_address))) {
+          acceptor_->Listen(*ParseAddress(settings_.caller_address))) {
     Log(LogLevel::kError, "listen-failed",
         {{"address", settings_.caller_address}, {"error", error.message()}});
     kernel_->Stop();
     return;
   }
-  kernel_->Spawn("front-accept", accepting_->Run());
+  kernel_->Spawn("front-accept", acceptor_->Run());
 }
 
 void Frontend::Stop() {
-  if (accepting_)
-    accepting_->Close();
+  if (acceptor_)
+    acceptor_->Close();
 }
 
 void Frontend::Drain() {
@@ -99,11 +102,12 @@
   draining_ = true;
   Stop();
   boost::system::error_code ignored;
-  for (Session* session : resting_)
+  for (Session* session : idle_sessions_)
     session->stream.socket().shutdown(tcp::socket::shutdown_both, ignored);
 }
 
-// The configuration's limits where it sets them, else the settings'.
+// The limits of the configuration where it sets them, otherwise of the
+// settings.
 auto Frontend::limits() const -> CallerLimits {
   const CallerLimits& declared = config_->catalog()->limits();
   CallerLimits limits;
@@ -120,10 +124,10 @@
 }
 
 auto Frontend::address() const -> std::string {
-  return accepting_->address();
+  return acceptor_->address();
 }
 
-auto Frontend::MayTake(size_t waiting) -> bool {
+auto Frontend::MayAccept(size_t waiting) -> bool {
   const int64_t held = connections_ + static_cast<int64_t>(waiting);
   if (held < settings_.connections)
     return true;
@@ -135,77 +139,80 @@
 
 auto Frontend::Serve(tcp::socket socket) -> asio::awaitable<void> {
   Session session(std::move(socket));
-  co_await ServeAll(&session);
+  co_await ServeConnection(&session);
 }
 
-auto Frontend::ServeRefused(tcp::socket socket, std::string arrived)
+auto Frontend::ServeRefused(tcp::socket socket, std::string received)
     -> asio::awaitable<void> {
   Session session(std::move(socket));
-  session.refused = true;
-  asio::buffer_copy(session.buffer.prepare(arrived.size()),
-                    asio::buffer(arrived));
-  session.buffer.commit(arrived.size());
-  co_await ServeAll(&session);
+  session.refuse_next = true;
+  asio::buffer_copy(session.buffer.prepare(received.size()),
+                    asio::buffer(received));
+  session.buffer.commit(received.size());
+  co_await ServeConnection(&session);
 }
 
-auto Frontend::ServeAll(Session* session) -> asio::awaitable<void> {
+auto Frontend::ServeConnection(Session* session) -> asio::awaitable<void> {
   ++connections_;
   boost::system::error_code ignored;
   session->stream.socket().set_option(tcp::no_delay(true), ignored);
-  while ((session->refused || !draining_) && co_await ServeOne(session)) {
+  while ((session->refuse_next || !draining_) &&
+         co_await ServeRequest(session)) {
   }
   session->stream.socket().shutdown(tcp::socket::shutdown_both, ignored);
   --connections_;
 }
 
-// What is refused here counts as asked: else a workspace whose callers reach a
-// box that is behind is taken to ask for little, and nobody yields to it.
-auto Frontend::BehindWork(const RequestContext& exchange) -> Refusal {
-  if (exchange.pool != nullptr)
+// The refused request counts as demand of its workspace. Otherwise a workspace
+// whose clients reach a saturated box would seem to ask for little, and no
+// other workspace would yield capacity to it.
+auto Frontend::RefuseForOverload(const RequestContext& context) -> Refusal {
+  if (context.pool != nullptr)
     scheduler_->node().ingress_scheduler().Deny(
-        {PoolIdOf(exchange.pool->name), exchange.workspace->number},
-        exchange.work, exchange.received);
-  return NotRun(503, "this box is behind its work", kRetryAfterFlood);
+        {PoolIdOf(context.pool->name), context.workspace->number}, context.work,
+        context.received);
+  return NotRun(503, "this box is overloaded", kRetryAfterOverload);
 }
 
-// A caller that has waited for too long is told so from what it has sent,
-// without a coroutine or a look at the body. One whose request is still on its
-// way, or that waits for leave to send its body, is read to its end first.
+// A client that has waited too long and whose complete request is buffered is
+// refused immediately, without a coroutine or parsing of the body. If the
+// request is still arriving, or the client waits for 100 Continue, the request
+// is first read to its end. A client that has sent nothing yet is served.
 void Frontend::RefuseUnread(tcp::socket socket, Millis waited) {
-  const Arrived arrived = ReadArrived(&socket);
-  RequestContext exchange;
-  AssignId(&exchange);
-  switch (arrived.kind) {
-    case Arrived::Kind::kNothing:
+  const BufferedInput received = ReadBufferedInput(&socket);
+  RequestContext context;
+  AssignId(&context);
+  switch (received.kind) {
+    case BufferedInput::Kind::kNoData:
       kernel_->Spawn("front-connection", Serve(std::move(socket)));
       return;
-    case Arrived::Kind::kPart:
+    case BufferedInput::Kind::kIncomplete:
       kernel_->Spawn(
           "front-connection",
-          ServeRefused(std::move(socket), std::string(arrived.bytes)));
+          ServeRefused(std::move(socket), std::string(received.bytes)));
       return;
-    case Arrived::Kind::kLeft:
-      NoteCallerLeft(exchange);
+    case BufferedInput::Kind::kClosed:
+      RecordClientLeft(context);
       return;
-    case Arrived::Kind::kWhole:
+    case BufferedInput::Kind::kComplete:
       break;
   }
-  std::optional<Refusal> refusal = CheckHeader(arrived.head, &exchange);
+  std::optional<Refusal> refusal = CheckHeader(received.head, &context);
   if (!refusal)
-    refusal = BehindWork(exchange);
-  NoteRefusal(exchange, *refusal, waited);
-  if (!AnswerAndClose(&socket, dialect_->refusal(*refusal, exchange)))
+    refusal = RefuseForOverload(context);
+  RecordRefusal(context, *refusal, waited);
+  if (!WriteAndClose(&socket, protocol_->refusal(*refusal, context)))
     metrics_->caller_left.Increment();
 }
 
-void Frontend::NoteRefusal(const RequestContext& exchange,
-                           const Refusal& refusal,
-                           Millis waited) {
+void Frontend::RecordRefusal(const RequestContext& context,
+                             const Refusal& refusal,
+                             Millis waited) {
   Log(LogLevel::kInfo, "request-refused",
-      {{"request", exchange.request_id},
-       {"caller_id", exchange.caller_id},
+      {{"request", context.request_id},
+       {"caller_id", context.caller_id},
        {"workspace",
-        exchange.workspace == nullptr ? "" : exchange.workspace->name},
+        context.workspace == nullptr ? "" : context.workspace->name},
        {"status", refusal.status},
        {"verdict", ToString(refusal.verdict)},
        {"reason", refusal.reason},
@@ -214,46 +221,48 @@
   metrics_->CountAnswer(refusal.status, ToString(refusal.verdict));
 }
 
-auto Frontend::Refuse(ClientStream* caller,
-                      const RequestContext& exchange,
+auto Frontend::Refuse(ClientStream* client,
+                      const RequestContext& context,
                       const Refusal& refusal) -> asio::awaitable<bool> {
-  NoteRefusal(exchange, refusal, /*waited=*/Millis(0));
-  co_return co_await caller->Answer(dialect_->refusal(refusal, exchange));
+  RecordRefusal(context, refusal, /*waited=*/Millis(0));
+  co_return co_await client->Answer(protocol_->refusal(refusal, context));
 }
 
 auto Frontend::RefuseEarly(Session* session,
-                           const RequestContext& exchange,
+                           const RequestContext& context,
                            const Refusal& refusal) -> asio::awaitable<bool> {
-  ClientStream caller(&session->stream, /*keep_alive=*/false,
+  ClientStream client(&session->stream, /*keep_alive=*/false,
                       settings_.send_time);
-  co_await Refuse(&caller, exchange, refusal);
-  // The rest of the request is unread; closing now could reset the answer
-  // before the caller has it, so the sending side goes first.
+  co_await Refuse(&client, context, refusal);
+  // The rest of the request is unread. Closing the connection now could reset
+  // it before the client has the answer, so only the sending side is shut down
+  // and the rest of the request is discarded.
   boost::system::error_code ignored;
   session->stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
   std::array<char, 4096> rest;
-  session->stream.expires_after(kLingerTime);
-  size_t taken = 0;
-  while (taken < kLingerBytes) {
+  session->stream.expires_after(kDiscardTime);
+  size_t discarded_bytes = 0;
+  while (discarded_bytes < kMaxDiscardedBytes) {
     const auto [error, size] =
         co_await session->stream.async_read_some(asio::buffer(rest), kAwait);
     if (error)
       break;
-    taken += size;
+    discarded_bytes += size;
   }
   co_return false;
 }
 
-// Waits for the first byte of a request; false when there will be none.
+// Waits for the first byte of a request; false if the connection ends or is
+// idle for too long.
 auto Frontend::WaitForRequest(Session* session) -> asio::awaitable<bool> {
   if (session->buffer.size() != 0)
     co_return true;
   session->stream.expires_after(
       std::chrono::milliseconds(limits().idle_time.count()));
-  resting_.insert(session);
+  idle_sessions_.insert(session);
   const auto [error, size] = co_await session->stream.async_read_some(
       session->buffer.prepare(kFirstReadBytes), kAwait);
-  resting_.erase(session);
+  idle_sessions_.erase(session);
   session->buffer.commit(size);
   co_return !error;
 }
@@ -273,7 +282,7 @@
       session->stream, session->buffer, *parser, kAwait);
   if (!error)
     co_return std::nullopt;
-  const auto refusal = RefusalOfRead(error, /*any_byte=*/true);
+  const auto refusal = ReadErrorRefusal(error, /*any_byte=*/true);
   session->closed = !refusal;
   co_return refusal;
 }
@@ -292,57 +301,57 @@
       session->stream, session->buffer, *parser, kAwait);
   if (!error)
     co_return std::nullopt;
-  const auto refusal = RefusalOfRead(error, /*any_byte=*/true);
+  const auto refusal = ReadErrorRefusal(error, /*any_byte=*/true);
   session->closed = !refusal;
   co_return refusal;
 }
 
-// A box that fell behind reads requests whose callers have given up; running
-// them would only keep it behind.
-auto Frontend::CallerLeft(Session& session, const RequestContext& exchange)
+// An overloaded box reads requests whose clients have already given up. Running
+// them would only prolong the overload.
+auto Frontend::HasClientLeft(Session& session, const RequestContext& context)
     -> bool {
   if (PeekSocket(session.stream.socket()) != SocketState::kClosed)
     return false;
-  NoteCallerLeft(exchange);
+  RecordClientLeft(context);
   return true;
 }
 
-void Frontend::NoteCallerLeft(const RequestContext& exchange) {
+void Frontend::RecordClientLeft(const RequestContext& context) {
   metrics_->caller_left.Increment();
   Log(LogLevel::kInfo, "caller-left-unheard",
-      {{"request", exchange.request_id}, {"caller_id", exchange.caller_id}});
+      {{"request", context.request_id}, {"caller_id", context.caller_id}});
 }
 
-void Frontend::AssignId(RequestContext* exchange) {
-  exchange->id = next_id_++;
-  exchange->request_id = id_prefix_ + std::to_string(exchange->id);
+void Frontend::AssignId(RequestContext* context) {
+  context->id = next_id_++;
+  context->request_id = id_prefix_ + std::to_string(context->id);
 }
 
 auto Frontend::CheckHeader(const http::request_header<>& head,
-                           RequestContext* exchange) -> std::optional<Refusal> {
-  exchange->received = kernel_->Now();
+                           RequestContext* context) -> std::optional<Refusal> {
+  context->received = kernel_->Now();
   if (!config_->ready())
-    return NotRun(503, config_->why_not_ready(), kRetryAfterStart);
+    return NotRun(503, config_->why_not_ready(), kRetryAfterStarting);
   if (draining_)
-    return NotRun(503, "this box is stopping", kRetryAfterStop);
-  exchange->catalog = config_->catalog();
-  if (auto refusal = dialect_->read_head(head, exchange))
+    return NotRun(503, "this box is stopping", kRetryAfterStopping);
+  context->catalog = config_->catalog();
+  if (auto refusal = protocol_->read_head(head, context))
     return refusal;
   if (scheduler_->overload().saturated())
-    return BehindWork(*exchange);
-  return scheduler_->node().ingress_scheduler().WhyFull(*exchange->workspace);
+    return RefuseForOverload(*context);
+  return scheduler_->node().ingress_scheduler().WhyFull(*context->workspace);
 }
 
-auto Frontend::ServeOne(Session* session) -> asio::awaitable<bool> {
-  RequestContext exchange;
-  AssignId(&exchange);
+auto Frontend::ServeRequest(Session* session) -> asio::awaitable<bool> {
+  RequestContext context;
+  AssignId(&context);
   Parser parser;
   std::optional<Refusal> refusal = co_await ReadHeader(session, &parser);
-  bool early = refusal.has_value();  // the rest can't be read
+  bool early = refusal.has_value();  // the rest of the request can't be read
   if (!refusal && !session->closed) {
-    refusal = CheckHeader(parser.get().base(), &exchange);
-    if (!refusal && session->refused)
-      refusal = BehindWork(exchange);
+    refusal = CheckHeader(parser.get().base(), &context);
+    if (!refusal && session->refuse_next)
+      refusal = RefuseForOverload(context);
     const std::optional<Refusal> unread = co_await ReadBody(session, &parser);
     early = unread.has_value();
     if (unread)
@@ -351,23 +360,23 @@
   if (session->closed)
     co_return false;
   if (early)
-    co_return co_await RefuseEarly(session, exchange, *refusal);
-  if (CallerLeft(*session, exchange))
+    co_return co_await RefuseEarly(session, context, *refusal);
+  if (HasClientLeft(*session, context))
     co_return false;
-  const bool keep_alive = parser.get().keep_alive() && !session->refused &&
+  const bool keep_alive = parser.get().keep_alive() && !session->refuse_next &&
                           !leaving_ && !scheduler_->overload().busy();
-  ClientStream caller(&session->stream, keep_alive, settings_.send_time);
-  exchange.caller = &caller;
-  exchange.request = parser.release();
+  ClientStream client(&session->stream, keep_alive, settings_.send_time);
+  context.client = &client;
+  context.request = parser.release();
   if (!refusal)
-    refusal = dialect_->read_whole(&exchange);
+    refusal = protocol_->read_whole(&context);
   if (refusal) {
-    co_await Refuse(&caller, exchange, *refusal);
-    co_return caller.reusable();
+    co_await Refuse(&client, context, *refusal);
+    co_return client.reusable();
   }
   session->stream.expires_never();
-  co_await runner_->Run(&exchange);
-  co_return caller.reusable();
+  co_await runner_->Run(&context);
+  co_return client.reusable();
 }
 
 }  // namespace sparbend
--- a/sparbend/services/frontend.h
+++ b/sparbend/services/frontend.h
@@ -1,6 +1,7 @@
-// The service "front": accepts callers, reads and checks their requests, and
-// hands each to the runner. Refuses what is malformed, unknown or too much
-// before it costs anybody else anything.
+// The service "front": accepts clients' connections, reads and checks their
+// requests, and passes each to the runner. Refuses requests that are malformed,
+// unauthorized or beyond the limits before they use anything that is shared
+// with other requests.
 #ifndef SPARBEND_SERVICES_FRONTEND_H_
 #define SPARBEND_SERVICES_FRONTEND_H_
 
@@ -26,11 +27,11 @@
   void Start() override;
   void Stop() override;
 
-  // A planned stop is near: connections end after the request under way, new
-  // ones are still served.
+  // Prepares for a planned stop: connections are closed after their current
+  // request. New connections are still accepted and served.
   void Leave() { leaving_ = true; }
-  // Stops accepting and ends connections that rest; new requests on the
-  // others are refused.
+  // Stops accepting and closes idle connections. New requests on the others are
+  // refused.
   void Drain();
   auto connections() const -> int64_t { return connections_; }
   auto address() const -> std::string;
@@ -39,37 +40,48 @@
   using Parser = http::request_parser<http::string_body>;
   struct Session;
 
-  auto MayTake(size_t waiting) -> bool;
+  auto MayAccept(size_t waiting) -> bool;
   auto Serve(tcp::socket socket) -> asio::awaitable<void>;
-  // Refuses a caller that waited for `waited` and was not read yet.
+  // Refuses the request on an accepted connection that has not been read yet.
+  // `waited`: the time since it was accepted.
   void RefuseUnread(tcp::socket socket, Millis waited);
-  // The refusal of a request whose workspace is known, by a box that is behind
-  // its work.
-  auto BehindWork(const RequestContext& exchange) -> Refusal;
-  // Serves a connection whose first request is refused; `arrived` was read of
-  // it already.
-  auto ServeRefused(tcp::socket socket, std::string arrived)
+  // The refusal by a saturated box. Counts the request as demand if its pool is
+  // known; its workspace must be known then.
+  auto RefuseForOverload(const RequestContext& context) -> Refusal;
+  // Serves a connection whose first request is refused. `received` are the
+  // bytes that have already been read from it.
+  auto ServeRefused(tcp::socket socket, std::string received)
       -> asio::awaitable<void>;
-  auto ServeAll(Session* session) -> asio::awaitable<void>;
-  auto ServeOne(Session* session) -> asio::awaitable<bool>;
+  // Serves requests until the connection ends.
+  auto ServeConnection(Session* session) -> asio::awaitable<void>;
+  // Serves one request. False if no other may follow on the connection.
+  auto ServeRequest(Session* session) -> asio::awaitable<bool>;
+  // ReadHeader and ReadBody return a refusal if the request can't be read, and
+  // set `closed` of the session if the client is gone.
   auto ReadHeader(Session* session, Parser* parser)
       -> asio::awaitable<std::optional<Refusal>>;
   auto ReadBody(Session* session, Parser* parser)
       -> asio::awaitable<std::optional<Refusal>>;
-  void NoteCallerLeft(const RequestContext& exchange);
-  auto CallerLeft(Session& session, const RequestContext& exchange) -> bool;
-  void AssignId(RequestContext* exchange);
-  auto CheckHeader(const http::request_header<>& head, RequestContext* exchange)
+  // Records that the client disconnected before its request was run.
+  void RecordClientLeft(const RequestContext& context);
+  // Whether the client has disconnected; records it if so.
+  auto HasClientLeft(Session& session, const RequestContext& context) -> bool;
+  void AssignId(RequestContext* context);
+  // Returns the refusal if the header alone shows that the request must be
+  // refused. Sets the fields of `context` that are known from it.
+  auto CheckHeader(const http::request_header<>& head, RequestContext* context)
       -> std::optional<Refusal>;
+  // Refuses a request that has not been read to its end, and ends the
+  // connection.
   auto RefuseEarly(Session* session,
-                   const RequestContext& exchange,
+                   const RequestContext& context,
                    const Refusal& refusal) -> asio::awaitable<bool>;
-  // `waited`: for how long the caller was connected before it was read.
-  void NoteRefusal(const RequestContext& exchange,
-                   const Refusal& refusal,
-                   Millis waited);
-  auto Refuse(ClientStream* caller,
-              const RequestContext& exchange,
+  // `waited`: how long the connection waited to be read after it was accepted.
+  void RecordRefusal(const RequestContext& context,
+                     const Refusal& refusal,
+                     Millis waited);
+  auto Refuse(ClientStream* client,
+              const RequestContext& context,
               const Refusal& refusal) -> asio::awaitable<bool>;
   auto WaitForRequest(Session* session) -> asio::awaitable<bool>;
   auto limits() const -> CallerLimits;
@@ -79,15 +91,15 @@
   std::string id_prefix_;
   uint64_t next_id_ = 1;
   int64_t connections_ = 0;
-  std::set<Session*> resting_;  // connections that wait for a request
+  std::set<Session*> idle_sessions_;  // that wait for a request
   bool leaving_ = false;
   bool draining_ = false;
   std::shared_ptr<CatalogSource> config_;
-  std::shared_ptr<ClientProtocol> dialect_;
+  std::shared_ptr<ClientProtocol> protocol_;
   std::shared_ptr<Scheduler> scheduler_;
   std::shared_ptr<Runner> runner_;
   std::shared_ptr<Metrics> metrics_;
-  std::unique_ptr<ClientAcceptor> accepting_;  // once started
+  std::unique_ptr<ClientAcceptor> acceptor_;  // null before Start
 };
 
 }  // namespace sparbend
--- a/sparbend/services/idle_guard.cc
+++ b/sparbend/services/idle_guard.cc
@@ -1,6 +1,7 @@
-// The timer is left running when its operation ends in time. When it fires it
-// looks at what is due by then: nothing, and it rests until the next Begin;
-// something later, and it waits on; something now, and it cancels.
+// The timer keeps running when an operation ends in time. When it fires, it
+// checks the current deadline: without one, it stops until the next Begin; if
+// the deadline is later, it waits on; if the deadline has passed, it cancels
+// the socket's operations.
 #include "sparbend/services/idle_guard.h"
 
 namespace sparbend {
@@ -16,8 +17,8 @@
       : socket(socket), timer(socket->get_executor()) {}
   tcp::socket* socket;  // null once the guard is gone
   asio::steady_timer timer;
-  TimePoint due = TimePoint::max();
-  bool armed = false;
+  TimePoint deadline = TimePoint::max();
+  bool timer_running = false;
 };
 
 IdleGuard::IdleGuard(tcp::socket* socket)
@@ -25,37 +26,39 @@
 
 IdleGuard::~IdleGuard() {
   state_->socket = nullptr;
-  if (state_->armed)
+  if (state_->timer_running)
     state_->timer.cancel();
 }
 
-void IdleGuard::Arm(const std::shared_ptr<State>& state) {
-  state->armed = true;
-  state->timer.expires_at(state->due);
+void IdleGuard::StartTimer(const std::shared_ptr<State>& state) {
+  state->timer_running = true;
+  state->timer.expires_at(state->deadline);
   state->timer.async_wait([state](const boost::system::error_code& error) {
-    state->armed = false;
-    if (error || state->socket == nullptr || state->due == TimePoint::max())
+    state->timer_running = false;
+    if (error || state->socket == nullptr ||
+        state->deadline == TimePoint::max())
       return;
-    if (std::chrono::steady_clock::now() < state->due) {
-      Arm(state);
+    if (std::chrono::steady_clock::now() < state->deadline) {
+      StartTimer(state);
       return;
     }
-    boost::system::error_code ignored;  // a closed socket has no operations
+    boost::system::error_code
+        ignored;  // a closed socket has no operations left
     state->socket->cancel(ignored);
   });
 }
 
-// An earlier moment than the timer's is not seen before the timer fires: spans
-// of one guard are alike.
+// A deadline before the timer's expiry is noticed only when the timer fires.
+// That is enough, because the spans of one guard are similar.
 void IdleGuard::Begin(Millis span) {
-  state_->due = std::chrono::steady_clock::now() +
-                std::chrono::milliseconds(span.count());
-  if (!state_->armed)
-    Arm(state_);
+  state_->deadline = std::chrono::steady_clock::now() +
+                     std::chrono::milliseconds(span.count());
+  if (!state_->timer_running)
+    StartTimer(state_);
 }
 
 void IdleGuard::End() {
-  state_->due = TimePoint::max();
+  state_->deadline = TimePoint::max();
 }
 
 }  // namespace sparbend
--- a/sparbend/services/idle_guard.h
+++ b/sparbend/services/idle_guard.h
@@ -1,11 +1,11 @@
-// Ends operations on a socket that take too long, at the cost of one timer for
-// many of them: a timer set and cancelled for each event of a stream costs
+// Cancels operations on a socket that take too long, with one timer for many
+// operations: setting and cancelling a timer for each event of a stream costs
 // about as much as reading the event.
 //
 //   IdleGuard guard(&socket);
-//   guard.Begin(Millis(5'000));          // an operation begins, or made
-//   progress co_await asio::async_write(socket, ...);   // operation_aborted
-//   when late guard.End();                         // none is pending
+//   guard.Begin(Millis(5'000));  // an operation starts, or made progress
+//   auto [error, size] = co_await asio::async_write(socket, buffer, kAwait);
+//   guard.End();                 // error is operation_aborted if it was late
 #ifndef SPARBEND_SERVICES_IDLE_GUARD_H_
 #define SPARBEND_SERVICES_IDLE_GUARD_H_
 
@@ -23,15 +23,16 @@
   IdleGuard(const IdleGuard&) = delete;
   auto operator=(const IdleGuard&) -> IdleGuard& = delete;
 
-  // The socket's operations are cancelled after `span`, unless this or End is
-  // called before.
+  // Cancels the socket's operations after `span`, unless Begin or End is called
+  // earlier. A span that ends before that of the last Begin may take effect
+  // only when the latter would have ended.
   void Begin(Millis span);
   void End();
 
  private:
   struct State;
 
-  static void Arm(const std::shared_ptr<State>& state);
+  static void StartTimer(const std::shared_ptr<State>& state);
 
   std::shared_ptr<State> state_;
 };
--- /dev/null
+++ b/sparbend/services/immediate_refusal.h
@@ -0,0 +1,41 @@
+// Refuses a request at the lowest possible cost, for a box that is saturated:
+// one non-blocking read of what the kernel has buffered and one write, without
+// a coroutine, timers or parsing of the body.
+//
+//   const BufferedInput input = ReadBufferedInput(&socket);
+//   if (input.kind == BufferedInput::Kind::kComplete)
+//     WriteAndClose(&socket, response);
+#ifndef SPARBEND_SERVICES_IMMEDIATE_REFUSAL_H_
+#define SPARBEND_SERVICES_IMMEDIATE_REFUSAL_H_
+
+#include <string_view>
+
+#include "sparbend/kernel/http.h"
+
+namespace sparbend {
+
+// What the kernel had received on a connection that was not read before.
+struct BufferedInput {
+  enum class Kind {
+    kNoData,      // the client has not sent anything yet
+    kClosed,      // the client closed the connection, or it broke
+    kIncomplete,  // not exactly one complete request, or not HTTP
+    kComplete,    // one request with all of its body
+  };
+  Kind kind = Kind::kNoData;
+  http::request_header<> head;  // set for kComplete only
+  std::string_view bytes;       // all that was read; valid until the next call
+};
+
+// Reads what has been received; never waits. Requests of more than 64 KiB, with
+// a chunked body or with an Expect field are reported as kIncomplete.
+auto ReadBufferedInput(tcp::socket* socket) -> BufferedInput;
+
+// Writes `response` and closes the connection. Returns false if the write
+// failed because the client is gone. Call it only after kComplete: closing a
+// connection with unread bytes resets it, and the client may lose the answer.
+auto WriteAndClose(tcp::socket* socket, StringResponse response) -> bool;
+
+}  // namespace sparbend
+
+#endif  // SPARBEND_SERVICES_IMMEDIATE_REFUSAL_H_
--- a/sparbend/services/own_protocol.cc
+++ b/sparbend/services/own_protocol.cc
@@ -1,5 +1,5 @@
-// The workspace comes from the key alone, so it is known before the body is
-// read; the pool is named in the body and is known after.
+// The workspace follows from the API key alone, so it is known before the body
+// is read. The pool depends on the body and is known only afterwards.
 #include "sparbend/services/own_protocol.h"
 
 #include <charconv>
@@ -13,8 +13,8 @@
 
 constexpr std::string_view kBearer = "Bearer ";
 constexpr std::string_view kOnceField = "Sparbend-Once";
-constexpr std::string_view kKeyField = "Idempotency-Key";
-constexpr size_t kMaxKeyBytes = 200;
+constexpr std::string_view kIdempotencyKeyField = "Idempotency-Key";
+constexpr size_t kMaxIdempotencyKeyBytes = 200;
 constexpr std::string_view kNotRunField = "X-Not-Run";
 constexpr std::string_view kTargetStateField = "X-Target-State";
 constexpr std::string_view kTargetLoadField = "X-Target-Load";
@@ -25,41 +25,44 @@
 
 auto ReadHead(const Settings& settings,
               const http::request_header<>& head,
-              RequestContext* exchange) -> std::optional<Refusal> {
+              RequestContext* context) -> std::optional<Refusal> {
   const std::string_view authorization = head[http::field::authorization];
   if (!authorization.starts_with(kBearer))
-    return NotRun(401, "no API key: send Authorization: Bearer KEY");
-  exchange->workspace = exchange->catalog->WorkspaceOfKey(
+    return NotRun(401,
+                  "no API key in the Authorization field: send Authorization: "
+                  "Bearer KEY");
+  context->workspace = context->catalog->WorkspaceOfKey(
       Sha256Hex(authorization.substr(kBearer.size())));
-  if (exchange->workspace == nullptr)
-    return NotRun(401, "the API key is not known");
-  exchange->idempotency_key = head[std::string(kKeyField)];
-  if (exchange->idempotency_key.size() > kMaxKeyBytes)
-    return NotRun(400, "the Idempotency-Key is too long");
-  exchange->deadline = exchange->received + settings.request_time;
-  exchange->queue_until = std::min(
-      exchange->received + exchange->workspace->queue_time, exchange->deadline);
+  if (context->workspace == nullptr)
+    return NotRun(401, "the API key belongs to no workspace");
+  context->idempotency_key = head[std::string(kIdempotencyKeyField)];
+  if (context->idempotency_key.size() > kMaxIdempotencyKeyBytes)
+    return NotRun(
+        400, "the Idempotency-Key is too long: at most 200 bytes are allowed");
+  context->deadline = context->received + settings.request_time;
+  context->queue_until = std::min(
+      context->received + context->workspace->queue_time, context->deadline);
   return std::nullopt;
 }
 
-auto ReadWhole(RequestContext* exchange) -> std::optional<Refusal> {
-  const RouteInput input = {
-      exchange->request.method_string(), exchange->request.target(),
-      exchange->request.body(), exchange->request[std::string(kOnceField)]};
+auto ReadCompleteRequest(RequestContext* context) -> std::optional<Refusal> {
+  const RouteInput input = {context->request.method_string(),
+                            context->request.target(), context->request.body(),
+                            context->request[std::string(kOnceField)]};
   const std::variant<Route, Refusal> found =
-      FindRoute(*exchange->catalog, *exchange->workspace, input);
+      FindRoute(*context->catalog, *context->workspace, input);
   if (const Refusal* refusal = std::get_if<Refusal>(&found))
     return *refusal;
   const Route& route = std::get<Route>(found);
-  exchange->pool = exchange->catalog->FindPool(route.pool);
-  exchange->model = route.model;
-  exchange->once = route.once;
-  exchange->streaming = route.streaming;
-  exchange->prefix = route.prefix;
+  context->pool = context->catalog->FindPool(route.pool);
+  context->model = route.model;
+  context->once = route.once;
+  context->streaming = route.streaming;
+  context->prefix = route.prefix;
   return std::nullopt;
 }
 
-// Fields of the caller's request that are for the target.
+// Copies the fields of the client's request that are for the target.
 void CopyFields(const StringRequest& from, StringRequest* to) {
   for (const http::field field :
        {http::field::content_type, http::field::accept,
@@ -70,17 +73,16 @@
   }
 }
 
-auto RequestHead(const RequestContext& exchange,
+auto RequestHead(const RequestContext& context,
                  const Slot& slot,
                  const std::string& resume_after) -> StringRequest {
-  StringRequest request(exchange.request.method(), exchange.request.target(),
-                        11);
-  CopyFields(exchange.request, &request);
+  StringRequest request(context.request.method(), context.request.target(), 11);
+  CopyFields(context.request, &request);
   request.set(http::field::host, FormatAddress(slot.address));
-  request.set("X-Request-Id", exchange.request_id);
-  request.set("X-Workspace", exchange.workspace->name);
-  if (!exchange.idempotency_key.empty())
-    request.set("Idempotency-Key", exchange.idempotency_key);
+  request.set("X-Request-Id", context.request_id);
+  request.set("X-Workspace", context.workspace->name);
+  if (!context.idempotency_key.empty())
+    request.set("Idempotency-Key", context.idempotency_key);
   if (!resume_after.empty())
     request.set("Last-Event-ID", resume_after);
   return request;
@@ -97,7 +99,7 @@
     facts.running = running;
   if (header.count(std::string(kNotRunField)) != 0) {
     facts.kind = AnswerFacts::Kind::kNotRun;
-    facts.why = "the target did not run it";
+    facts.why = "the target reports that it did not run the request";
   }
   return facts;
 }
@@ -126,35 +128,36 @@
 
 auto MakeOwnCallerDialect(const Settings& settings)
     -> std::shared_ptr<ClientProtocol> {
-  auto dialect = std::make_shared<ClientProtocol>();
-  dialect->read_head = [settings](const http::request_header<>& head,
-                                  RequestContext* exchange) {
-    return ReadHead(settings, head, exchange);
+  auto protocol = std::make_shared<ClientProtocol>();
+  protocol->read_head = [settings](const http::request_header<>& head,
+                                   RequestContext* context) {
+    return ReadHead(settings, head, context);
   };
-  dialect->read_whole = ReadWhole;
-  dialect->refusal = [](const Refusal& refusal,
-                        const RequestContext& exchange) {
-    return ProblemResponse(refusal, exchange.request_id);
+  protocol->read_whole = ReadCompleteRequest;
+  protocol->refusal = [](const Refusal& refusal,
+                         const RequestContext& context) {
+    return ProblemResponse(refusal, context.request_id);
   };
-  dialect->dress_answer = [](const RequestContext& exchange,
-                             http::response_header<>* header) {
-    header->set(std::string(kRequestField), exchange.request_id);
+  protocol->dress_answer = [](const RequestContext& context,
+                              http::response_header<>* header) {
+    header->set(std::string(kRequestField), context.request_id);
     header->set(std::string(kVerdictField), ToString(Verdict::kRan));
   };
-  return dialect;
+  return protocol;
 }
 
 auto MakeOwnTargetDialect() -> std::shared_ptr<TargetProtocol> {
-  auto dialect = std::make_shared<TargetProtocol>();
-  dialect->request_head = [](const RequestContext& exchange, const Slot& slot,
-                             Millis /*left*/, const std::string& resume_after) {
-    return RequestHead(exchange, slot, resume_after);
+  auto protocol = std::make_shared<TargetProtocol>();
+  protocol->request_head = [](const RequestContext& context, const Slot& slot,
+                              Millis /*time_left*/,
+                              const std::string& resume_after) {
+    return RequestHead(context, slot, resume_after);
   };
-  dialect->read_answer = [](const RequestContext& /*exchange*/,
-                            const http::response_header<>& header) {
+  protocol->read_answer = [](const RequestContext& /*context*/,
+                             const http::response_header<>& header) {
     return ReadAnswer(header);
   };
-  return dialect;
+  return protocol;
 }
 
 }  // namespace sparbend
--- a/sparbend/services/own_protocol.h
+++ b/sparbend/services/own_protocol.h
@@ -1,5 +1,6 @@
-// The product's own interface: OpenAI-shaped requests with a bearer key,
-// refusals as problem documents, targets that state X-Not-Run and the like.
+// The router's own protocol: requests in the shape of the OpenAI API with a
+// bearer key, refusals as problem documents (RFC 9457), and targets that report
+// their state in fields such as X-Not-Run.
 #ifndef SPARBEND_SERVICES_OWN_PROTOCOL_H_
 #define SPARBEND_SERVICES_OWN_PROTOCOL_H_
 
@@ -14,7 +15,8 @@
     -> std::shared_ptr<ClientProtocol>;
 auto MakeOwnTargetDialect() -> std::shared_ptr<TargetProtocol>;
 
-// A problem document with the verdict, as the own interface words refusals.
+// A refusal in the router's own protocol: a problem document that includes the
+// verdict and the request's id.
 auto ProblemResponse(const Refusal& refusal, const std::string& request_id)
     -> StringResponse;
 
--- a/sparbend/services/protocol.h
+++ b/sparbend/services/protocol.h
@@ -1,7 +1,8 @@
-// How callers and targets are spoken to. The front and the forward service
-// know only the typed values here; a dialect knows the names on the wire. The
-// service "caller-dialect" reads requests and words refusals, the service
-// "target-dialect" words requests and judges answers.
+// The protocols that clients and targets use. The services "front" and
+// "forward" know only the typed values here; a protocol knows the HTTP fields
+// on the wire. The service "caller-dialect" (ClientProtocol) reads clients'
+// requests and formats refusals. The service "target-dialect" (TargetProtocol)
+// formats requests to targets and interprets their answers.
 #ifndef SPARBEND_SERVICES_PROTOCOL_H_
 #define SPARBEND_SERVICES_PROTOCOL_H_
 
@@ -18,45 +19,50 @@
 struct ClientProtocol : public Service {
   using RequestHead = http::request_header<>;
 
-  // Reads the head into `exchange`; the refusal for what may not go on. The
-  // body is not read yet, `exchange->received` and `catalog` are set.
+  // Reads the header into the request context, whose `received` and `catalog`
+  // are set. The body has not been read yet. Returns the refusal if the request
+  // must not be continued.
   std::function<std::optional<Refusal>(const RequestHead&, RequestContext*)>
       read_head;
-  // Reads what only the whole `exchange->request` tells.
+  // Reads what depends on the complete `request` of the context. Returns the
+  // refusal if the request must not be continued.
   std::function<std::optional<Refusal>(RequestContext*)> read_whole;
-  // The answer for a request that gets none from a target.
+  // The answer to a request that no target answers.
   std::function<StringResponse(const Refusal&, const RequestContext&)> refusal;
-  // Adds the product's own fields to a target's answer.
+  // Adds the router's own fields to a target's answer.
   std::function<void(const RequestContext&, http::response_header<>*)>
       dress_answer;
 };
 
-// What the head of an answer proves.
+// What the header of a target's answer says.
 struct AnswerFacts {
   enum class Kind {
     kAnswer,   // the target's answer to this request
-    kNotRun,   // the target says that it did not and will not run it
-    kForeign,  // the answer to another request
-    kInvalid,  // proves nothing: the request may have run
+    kNotRun,   // the target did not execute the request and will not
+    kForeign,  // an answer to another request
+    kInvalid,  // proves nothing: the request may have been executed
   };
   Kind kind = Kind::kAnswer;
-  std::string why;  // for the log, when it is no answer
-  // The target says that it leaves, or another one has its address.
+  std::string why;  // for the log, if kind is not kAnswer
+  // The target reports that it is leaving, or another target answers at its
+  // address.
   bool leaving = false;
-  std::optional<int> running;  // requests at the target, if told
-  // The target turned the request away, and wants no other from this box for
-  // so long; zero: it does not say.
+  std::optional<int> running;  // requests at the target, if reported
+  // The target rejected the request and asks for no others from this box for
+  // this long; zero: not stated.
   Millis retry_after;
 };
 
 struct TargetProtocol : public Service {
-  // The request to `slot`, body left out; the target may work for `left`.
-  // `resume_after` is the id of the last event that the caller has, or empty.
+  // The request for the target of `slot`, without its body. `time_left` is the
+  // time until the request's deadline. `resume_after` is the id of the last
+  // event that the client has received; empty: none.
   std::function<StringRequest(const RequestContext&,
                               const Slot& slot,
-                              Millis left,
+                              Millis time_left,
                               const std::string& resume_after)>
       request_head;
+  // Interprets the header of an answer to the request.
   std::function<AnswerFacts(const RequestContext&,
                             const http::response_header<>&)>
       read_answer;
--- a/sparbend/services/request_context.cc
+++ b/sparbend/services/request_context.cc
@@ -2,9 +2,9 @@
 
 namespace sparbend {
 
-auto FingerprintOf(const RequestContext& exchange) -> Fingerprint {
-  const StringRequest& request = exchange.request;
-  return FingerprintOf(exchange.workspace->number, request.method_string(),
+auto FingerprintOf(const RequestContext& context) -> Fingerprint {
+  const StringRequest& request = context.request;
+  return FingerprintOf(context.workspace->number, request.method_string(),
                        request.target(), request.body());
 }
 
--- a/sparbend/services/request_context.h
+++ b/sparbend/services/request_context.h
@@ -1,5 +1,5 @@
-// One caller's request on its way through the box: what was asked, by whom,
-// under which rules, and what is known of its fate so far.
+// The state of one client request on its way through the box: the request, its
+// workspace and limits, and the result of its attempts so far.
 #ifndef SPARBEND_SERVICES_REQUEST_CONTEXT_H_
 #define SPARBEND_SERVICES_REQUEST_CONTEXT_H_
 
@@ -19,62 +19,64 @@
 
 namespace sparbend {
 
-// How far the answer has come, over all attempts at it.
+// How much of the answer has been relayed, over all attempts.
 struct AnswerProgress {
   UsageMeter meter;
-  std::string held;      // bytes of an event that is not whole yet
-  bool began = false;    // its head was sent to the caller
-  bool metered = false;  // it is a stream of events
+  std::string incomplete_event;  // received bytes of an incomplete event
+  bool began = false;            // its header was sent to the client
+  bool is_stream = false;        // it is a stream of events, read by the meter
 };
 
-// A target's whole failure, kept while another attempt may do better.
+// A target's complete answer with a server error, kept while another attempt
+// may still succeed.
 struct FailedAnswer {
   http::response_header<> header;
   std::string body;
 };
 
 struct RequestContext {
-  // Asked; fixed once accepted.
+  // The request; does not change once it has been accepted.
   RequestId id = 0;
-  std::string request_id;  // for people and logs
-  std::string caller_id;   // the id the caller gave this request, if any
+  std::string request_id;  // the box's id of it, for clients and logs
+  std::string caller_id;   // the client's id of it, if it sent one
   std::shared_ptr<const Catalog> catalog;
   const Workspace* workspace = nullptr;  // in catalog
   const Pool* pool = nullptr;            // in catalog
   const RouteRule* route = nullptr;      // in catalog; null without routes
-  bool anonymous = false;  // no key was asked for; the workspace is a default
+  bool anonymous = false;  // without a key; the workspace is a default
   StringRequest request;
   std::string model;
   std::string idempotency_key;
-  bool once = false;  // may run at most once
+  bool once = false;  // must be executed at most once
   bool streaming = false;
-  bool resumable = false;        // may go on at another target
-  bool finish_unwatched = true;  // once only: goes on when the caller left
-  int max_runs = kMaxAttempts;   // targets that may run it
-  uint64_t prefix = 0;
+  bool resumable = false;        // another target may continue its stream
+  bool finish_unwatched = true;  // if once: go on when the client left
+  int max_runs = kMaxAttempts;   // limit of `runs`
+  uint64_t prefix = 0;           // hash of the prompt's start; zero: none
   WorkFacts work;
   Millis received;
   Millis deadline;
-  Millis queue_until;       // refused when still waiting then
-  Millis first_byte_limit;  // an attempt without an answer ends; zero: none
+  Millis queue_until;  // refused if it still waits then
+  // An attempt whose answer has not begun after this time ends; zero: no limit.
+  Millis first_byte_limit;
 
-  // Known so far.
-  ClientStream* caller = nullptr;
+  // The state of its attempts.
+  ClientStream* client = nullptr;
   Verdict verdict = Verdict::kNotRun;
   int attempts = 0;
-  int runs = 0;        // attempts that may have run
-  int64_t tokens = 0;  // service charged
+  int runs = 0;        // attempts that may have been executed
+  int64_t tokens = 0;  // charged to the workspace
   Millis first_byte;   // when an answer began; zero: not yet
   AnswerProgress progress;
-  std::optional<FailedAnswer> failed;
-  // Known once it matters: while requests of its kind are suspected of ending
-  // their targets, or its connection broke.
+  std::optional<FailedAnswer> failed_answer;
+  // Set only when it is needed: if requests to its path are suspected of
+  // crashing targets, or its connection broke.
   std::optional<Fingerprint> fingerprint;
-  SuspicionVersion stamp;        // of the attempt under way
-  std::function<void()> cancel;  // ends the attempt under way
+  SuspicionVersion suspicion_version;  // of the current attempt
+  std::function<void()> cancel;        // cancels the current attempt
 };
 
-auto FingerprintOf(const RequestContext& exchange) -> Fingerprint;
+auto FingerprintOf(const RequestContext& context) -> Fingerprint;
 
 }  // namespace sparbend
 
--- a/sparbend/services/runner.cc
+++ b/sparbend/services/runner.cc
@@ -1,5 +1,6 @@
-// A request given up on is answered at once. Every acquired slot is finished
-// exactly once: by Finish at the end, or by AcquireAgain's requeue.
+// A request that gets no further attempt is answered immediately. Every
+// acquired slot is released exactly once: by Finish at the end, or by
+// AcquireAgain, which queues the request again.
 #include "sparbend/services/runner.h"
 
 #include <cmath>
@@ -11,34 +12,35 @@
 
 constexpr Millis kRetryAfterFailure = Millis(1'000);
 constexpr double kPercent = 100;
-// Larger ones are told as this.
-constexpr double kMostExcess = 100;
+// Larger ratios to the fair share are logged as this.
+constexpr double kMaxLoggedFairShareRatio = 100;
 constexpr int kBadRequest = 400;
 constexpr int kConflict = 409;
 constexpr int kBadGateway = 502;
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 
-// What is left to a request below which another attempt is of no use.
-constexpr Millis kLeastTimeLeft = Millis(20);
+// With less time than this until the deadline, another attempt is useless.
+constexpr Millis kMinTimeLeft = Millis(20);
 
-auto QueuedFrom(const RequestContext& exchange) -> QueuedRequest {
+auto ToQueuedRequest(const RequestContext& context) -> QueuedRequest {
   QueuedRequest queued;
-  queued.id = exchange.id;
-  queued.flow = {PoolIdOf(exchange.pool->name), exchange.workspace->number};
-  queued.bytes = static_cast<int64_t>(exchange.request.body().size()) + 1'024;
-  queued.arrived = exchange.received;
-  queued.expires = exchange.queue_until;
-  queued.prefix = exchange.prefix;
-  queued.work = exchange.work;
+  queued.id = context.id;
+  queued.flow = {PoolIdOf(context.pool->name), context.workspace->number};
+  queued.bytes = static_cast<int64_t>(context.request.body().size()) + 1'024;
+  queued.arrived = context.received;
+  queued.expires = context.queue_until;
+  queued.prefix = context.prefix;
+  queued.work = context.work;
   return queued;
 }
 
-// How long before this try its caller first asked, as far as is known.
-auto AskedBefore(const RequestContext& exchange) -> Millis {
-  const WorkFacts& work = exchange.work;
+// The time between the client's first attempt at this request and this one, as
+// far as it is known; otherwise zero.
+auto SinceFirstAttempt(const RequestContext& context) -> Millis {
+  const WorkFacts& work = context.work;
   return work.objective > Millis(0)
-             ? exchange.received + work.objective - work.first_byte_due
+             ? context.received + work.objective - work.first_byte_due
              : Millis(0);
 }
 
@@ -52,71 +54,72 @@
   forward_ = kernel_->Find<Forward>("forward");
   claims_ = kernel_->Find<Claims>("claims");
   metrics_ = kernel_->Find<Metrics>("metrics");
-  dialect_ = kernel_->Find<ClientProtocol>("caller-dialect");
+  protocol_ = kernel_->Find<ClientProtocol>("caller-dialect");
 }
 
-void Runner::OnCallerGone(RequestContext* exchange) {
+void Runner::OnClientGone(RequestContext* context) {
   metrics_->caller_left.Increment();
-  scheduler_->Abandon(exchange->id);
-  // Work that may not be repeated is left to finish, where that is wanted.
-  const bool finish = exchange->once && exchange->finish_unwatched;
-  if (!finish && exchange->cancel)
-    exchange->cancel();
+  scheduler_->Abandon(context->id);
+  // A request that must not be repeated runs to its end if that is configured.
+  const bool finish = context->once && context->finish_unwatched;
+  if (!finish && context->cancel)
+    context->cancel();
 }
 
-void Runner::CountFresh(const RequestContext& exchange) {
+void Runner::RecordFirstAttempt(const RequestContext& context) {
   if (settings_.retry_limits.window <= Millis(0)) {
-    budgets_[exchange.workspace->name].OnFirstAttempt();
+    workspace_budgets_[context.workspace->name].OnFirstAttempt();
     return;
   }
   const auto [budget, added] =
-      fleet_budgets_.try_emplace(exchange.pool->name, settings_.retry_limits);
+      fleet_budgets_.try_emplace(context.pool->name, settings_.retry_limits);
   budget->second.OnFirstAttempt(kernel_->Now());
 }
 
-auto Runner::TakeBudget(const RequestContext& exchange) -> bool {
+auto Runner::SpendRetryBudget(const RequestContext& context) -> bool {
   bool taken = false;
   if (settings_.retry_limits.window <= Millis(0)) {
-    taken = budgets_[exchange.workspace->name].Take();
+    taken = workspace_budgets_[context.workspace->name].Take();
   } else {
     const int boxes = static_cast<int>(
         std::max(scheduler_->node().members().list().boxes.size(),
                  scheduler_->node().live_boxes()));
-    taken = fleet_budgets_.at(exchange.pool->name).Take(boxes, kernel_->Now());
+    taken = fleet_budgets_.at(context.pool->name).Take(boxes, kernel_->Now());
   }
   if (!taken)
     metrics_->retries_denied.Increment();
   return taken;
 }
 
-// A request that is never suspected costs no digest: nothing is remembered most
-// of the time, and then bodies are looked at on suspected paths alone.
-void Runner::Identify(RequestContext* exchange) {
+// Requests that are not suspected cost no digest of the body: most of the time
+// there are no suspicions at all, and otherwise only bodies of requests to
+// suspected paths are digested.
+void Runner::SetFingerprintIfSuspected(RequestContext* context) {
   const Quarantine& quarantine = scheduler_->node().quarantine();
-  if (exchange->fingerprint || quarantine.empty())
+  if (context->fingerprint || quarantine.empty())
     return;
-  const StringRequest& request = exchange->request;
+  const StringRequest& request = context->request;
   if (quarantine.HasSuspicions(
-          exchange->workspace->number,
+          context->workspace->number,
           PathDigest(request.method_string(), request.target())))
-    exchange->fingerprint = FingerprintOf(*exchange);
+    context->fingerprint = FingerprintOf(*context);
 }
 
-auto Runner::WhyQuarantined(RequestContext* exchange)
+auto Runner::CheckQuarantine(RequestContext* context)
     -> std::optional<Refusal> {
-  Identify(exchange);
-  if (!exchange->fingerprint)
+  SetFingerprintIfSuspected(context);
+  if (!context->fingerprint)
     return std::nullopt;
   const Millis span = scheduler_->node().quarantine().BlockedFor(
-      *exchange->fingerprint, kernel_->Now());
+      *context->fingerprint, kernel_->Now());
   if (span <= Millis(0))
     return std::nullopt;
   metrics_->quarantine_refusals.Increment();
   return Refusal{kUnavailable, Verdict::kNotRun,
-                 "targets ended while they ran this request", span};
+                 "targets exited while they ran this request", span};
 }
 
-auto Runner::WhyListTooOld() -> std::optional<Refusal> {
+auto Runner::CheckTargetList() -> std::optional<Refusal> {
   if (!scheduler_->node().ListOutOfDate(kernel_->Now()))
     return std::nullopt;
   metrics_->list_refusals.Increment();
@@ -124,218 +127,221 @@
                  "the list of targets is out of date", kRetryAfterFailure};
 }
 
-auto Runner::Attempt(RequestContext* exchange, const Slot& slot)
+auto Runner::Attempt(RequestContext* context, const Slot& slot)
     -> asio::awaitable<AttemptResult> {
   Quarantine& quarantine = scheduler_->node().quarantine();
-  exchange->stamp = exchange->fingerprint
-                        ? quarantine.SuspicionVersionOf(*exchange->fingerprint)
-                        : SuspicionVersion();
-  const AttemptResult result = co_await forward_->Attempt(exchange, slot);
-  if (!result.whole)
+  context->suspicion_version =
+      context->fingerprint
+          ? quarantine.SuspicionVersionOf(*context->fingerprint)
+          : SuspicionVersion();
+  const AttemptResult result = co_await forward_->Attempt(context, slot);
+  if (!result.complete)
     co_return result;
-  Identify(exchange);
-  if (exchange->fingerprint)
-    quarantine.ClearSuspicion(*exchange->fingerprint, exchange->stamp,
+  SetFingerprintIfSuspected(context);
+  if (context->fingerprint)
+    quarantine.ClearSuspicion(*context->fingerprint, context->suspicion_version,
                               kernel_->Now());
   co_return result;
 }
 
-auto Runner::MayTryAgain(const RequestContext& exchange,
+auto Runner::ShouldRetry(const RequestContext& context,
                          const AttemptResult& result) -> bool {
-  const AnswerProgress& progress = exchange.progress;
-  const bool can_go_on =
-      exchange.resumable && !progress.meter.last_event_id().empty();
+  const AnswerProgress& progress = context.progress;
+  const bool can_resume =
+      context.resumable && !progress.meter.last_event_id().empty();
   FailedAttempt failed;
-  failed.verdict = exchange.verdict;
-  failed.repeatable = !exchange.once || can_go_on;
-  failed.answered = exchange.caller->began() && !can_go_on;
-  failed.attempts = exchange.attempts;
-  failed.runs = exchange.runs;
-  failed.max_runs = exchange.max_runs;
-  failed.now = kernel_->Now() + kLeastTimeLeft;
-  failed.deadline = exchange.deadline;
-  if (exchange.caller->gone() || !MayRetry(failed))
+  failed.verdict = context.verdict;
+  failed.repeatable = !context.once || can_resume;
+  failed.answered = context.client->began() && !can_resume;
+  failed.attempts = context.attempts;
+  failed.runs = context.runs;
+  failed.max_runs = context.max_runs;
+  failed.now = kernel_->Now() + kMinTimeLeft;
+  failed.deadline = context.deadline;
+  if (context.client->gone() || !MayRetry(failed))
     return false;
-  // What never left this box repeats nothing.
-  return !result.arrived || TakeBudget(exchange);
+  // An attempt of which no byte was sent repeats no work, so its retry is free.
+  return !result.may_have_arrived || SpendRetryBudget(context);
 }
 
-auto Runner::FinalRefusal(const RequestContext& exchange,
+auto Runner::FinalRefusal(const RequestContext& context,
                           const AttemptResult& result) -> Refusal {
-  const bool ran_nowhere = exchange.verdict == Verdict::kNotRun;
-  if (kernel_->Now() + kLeastTimeLeft >= exchange.deadline)
-    return {kGatewayTimeout, exchange.verdict, "its time ran out",
+  const bool not_run = context.verdict == Verdict::kNotRun;
+  if (kernel_->Now() + kMinTimeLeft >= context.deadline)
+    return {kGatewayTimeout, context.verdict, "the request's deadline passed",
             kRetryAfterFailure};
-  return {ran_nowhere ? kUnavailable : kBadGateway, exchange.verdict,
-          result.problem, kRetryAfterFailure};
+  return {not_run ? kUnavailable : kBadGateway, context.verdict, result.problem,
+          kRetryAfterFailure};
 }
 
-void Runner::LogSent(const RequestContext& exchange, const Slot& slot) {
+void Runner::LogSent(const RequestContext& context, const Slot& slot) {
   Log(LogLevel::kInfo, "request-sent",
-      {{"request", exchange.request_id},
-       {"caller_id", exchange.caller_id},
-       {"workspace", exchange.workspace->name},
-       {"route", exchange.route == nullptr ? "" : exchange.route->name},
+      {{"request", context.request_id},
+       {"caller_id", context.caller_id},
+       {"workspace", context.workspace->name},
+       {"route", context.route == nullptr ? "" : context.route->name},
        {"target", slot.target},
-       {"attempt", exchange.attempts},
-       {"waited_ms", (kernel_->Now() - exchange.received).count()},
-       {"left_ms", (exchange.deadline - kernel_->Now()).count()},
+       {"attempt", context.attempts},
+       {"waited_ms", (kernel_->Now() - context.received).count()},
+       {"left_ms", (context.deadline - kernel_->Now()).count()},
        {"expected_first_byte_ms", slot.choice.first_byte.count()},
        {"uncached_tokens", slot.choice.uncached_tokens},
        {"queued_tokens", slot.choice.queued_tokens},
        {"fetched", slot.fetch_from.has_value()},
-       {"prompt_tokens", exchange.work.prompt_tokens},
-       {"shared_tokens", exchange.work.shared_tokens()},
+       {"prompt_tokens", context.work.prompt_tokens},
+       {"shared_tokens", context.work.shared_tokens()},
        {"prefix",
-        exchange.work.prefixes.empty() ? 0 : exchange.work.prefixes.back().id},
-       {"excess",
-        std::lround(std::min(slot.choice.fair_share_ratio, kMostExcess) *
-                    kPercent)},
+        context.work.prefixes.empty() ? 0 : context.work.prefixes.back().id},
+       {"excess", std::lround(std::min(slot.choice.fair_share_ratio,
+                                       kMaxLoggedFairShareRatio) *
+                              kPercent)},
        {"in_time", slot.choice.in_time}});
 }
 
-void Runner::LogFailed(const RequestContext& exchange,
+void Runner::LogFailed(const RequestContext& context,
                        const Slot& slot,
                        const AttemptResult& result) {
   Log(LogLevel::kWarning, "attempt-failed",
-      {{"request", exchange.request_id},
-       {"caller_id", exchange.caller_id},
-       {"workspace", exchange.workspace->name},
+      {{"request", context.request_id},
+       {"caller_id", context.caller_id},
+       {"workspace", context.workspace->name},
        {"target", slot.target},
-       {"attempt", exchange.attempts},
+       {"attempt", context.attempts},
        {"verdict", ToString(result.verdict)},
        {"problem", result.problem},
        {"retry_after_ms", result.retry_after.count()},
-       {"after_ms", (kernel_->Now() - exchange.received).count()}});
+       {"after_ms", (kernel_->Now() - context.received).count()}});
 }
 
-auto Runner::Attempts(RequestContext* exchange) -> asio::awaitable<Refusal> {
-  // Sent on, it would end one target after the other, with all that runs there.
-  if (const std::optional<Refusal> refused = WhyQuarantined(exchange))
+auto Runner::RunAttempts(RequestContext* context) -> asio::awaitable<Refusal> {
+  // A quarantined request would crash one target after the other, with all
+  // other requests there.
+  if (const std::optional<Refusal> refused = CheckQuarantine(context))
     co_return *refused;
-  CountFresh(*exchange);
-  SlotOrRefusal acquired = co_await scheduler_->Acquire(QueuedFrom(*exchange));
+  RecordFirstAttempt(*context);
+  SlotOrRefusal acquired =
+      co_await scheduler_->Acquire(ToQueuedRequest(*context));
   while (true) {
     if (std::holds_alternative<Slot>(acquired)) {
-      // Its like may have ended a target while it waited.
-      std::optional<Refusal> refused = WhyQuarantined(exchange);
+      // An identical request may have crashed a target while this one waited.
+      std::optional<Refusal> refused = CheckQuarantine(context);
       if (!refused)
-        refused = WhyListTooOld();
+        refused = CheckTargetList();
       if (refused) {
-        scheduler_->Finish(exchange->id, 0);
+        scheduler_->Finish(context->id, 0);
         acquired = std::move(*refused);
       }
     }
     if (const Refusal* refusal = std::get_if<Refusal>(&acquired)) {
       Refusal final = *refusal;
-      final.verdict = Combine(final.verdict, exchange->verdict);
+      final.verdict = Combine(final.verdict, context->verdict);
       if (final.verdict != Verdict::kNotRun)
         final.status = kBadGateway;
       co_return final;
     }
     const Slot slot = std::get<Slot>(acquired);
-    ++exchange->attempts;
-    LogSent(*exchange, slot);
-    const AttemptResult result = co_await Attempt(exchange, slot);
-    exchange->verdict = Combine(exchange->verdict, result.verdict);
-    exchange->runs += result.verdict == Verdict::kNotRun ? 0 : 1;
-    if (result.whole) {
-      scheduler_->Finish(exchange->id, exchange->tokens);
+    ++context->attempts;
+    LogSent(*context, slot);
+    const AttemptResult result = co_await Attempt(context, slot);
+    context->verdict = Combine(context->verdict, result.verdict);
+    context->runs += result.verdict == Verdict::kNotRun ? 0 : 1;
+    if (result.complete) {
+      scheduler_->Finish(context->id, context->tokens);
       co_return Refusal{200, Verdict::kRan, "", Millis(0)};
     }
-    LogFailed(*exchange, slot, result);
-    if (!MayTryAgain(*exchange, result)) {
-      scheduler_->Finish(exchange->id, exchange->tokens);
-      co_return FinalRefusal(*exchange, result);
+    LogFailed(*context, slot, result);
+    if (!ShouldRetry(*context, result)) {
+      scheduler_->Finish(context->id, context->tokens);
+      co_return FinalRefusal(*context, result);
     }
     metrics_->retries.Increment();
-    if (result.arrived)
-      co_await Sleep(Backoff(exchange->attempts, random_()));
+    if (result.may_have_arrived)
+      co_await Sleep(Backoff(context->attempts, random_()));
     acquired =
-        co_await scheduler_->AcquireAgain(exchange->id, exchange->deadline);
+        co_await scheduler_->AcquireAgain(context->id, context->deadline);
   }
 }
 
-auto Runner::ClaimKey(const RequestContext& exchange)
+auto Runner::ClaimKey(const RequestContext& context)
     -> asio::awaitable<std::optional<Refusal>> {
-  if (const auto why = WhyKeyRefused(exchange.idempotency_key, WallClock()))
+  if (const auto why = WhyKeyRefused(context.idempotency_key, WallClock()))
     co_return Refusal{kBadRequest, Verdict::kNotRun, *why, Millis(0)};
-  const ClaimAnswer answer =
-      co_await claims_->Claim(exchange.workspace->number,
-                              exchange.idempotency_key, exchange.request_id);
+  const ClaimAnswer answer = co_await claims_->Claim(
+      context.workspace->number, context.idempotency_key, context.request_id);
   if (answer.outcome == ClaimOutcome::kWon)
     co_return std::nullopt;
   if (answer.outcome == ClaimOutcome::kLost)
     co_return Refusal{
         kConflict, Verdict::kMayHaveRun,
-        "a copy of this request was taken before: " + answer.detail, Millis(0)};
-  co_return Refusal{kUnavailable, Verdict::kNotRun,
-                    "no decision on the Idempotency-Key: " + answer.detail,
-                    kRetryAfterFailure};
+        "a copy of this request was accepted before: " + answer.detail,
+        Millis(0)};
+  co_return Refusal{
+      kUnavailable, Verdict::kNotRun,
+      "the claim on the Idempotency-Key is undecided: " + answer.detail,
+      kRetryAfterFailure};
 }
 
-// The request's fate, with its key claimed before and, if nothing was sent,
-// released after.
-auto Runner::Settle(RequestContext* exchange) -> asio::awaitable<Refusal> {
-  const bool keyed = exchange->once && !exchange->idempotency_key.empty();
-  if (!keyed)
-    co_return co_await Attempts(exchange);
-  const std::optional<Refusal> refused = co_await ClaimKey(*exchange);
+auto Runner::RunWithClaim(RequestContext* context) -> asio::awaitable<Refusal> {
+  const bool needs_claim = context->once && !context->idempotency_key.empty();
+  if (!needs_claim)
+    co_return co_await RunAttempts(context);
+  const std::optional<Refusal> refused = co_await ClaimKey(*context);
   if (refused)
     co_return *refused;
-  const Refusal final = co_await Attempts(exchange);
+  const Refusal final = co_await RunAttempts(context);
   if (final.verdict == Verdict::kNotRun)
-    claims_->Release(exchange->workspace->number, exchange->idempotency_key,
-                     exchange->request_id);
+    claims_->Release(context->workspace->number, context->idempotency_key,
+                     context->request_id);
   co_return final;
 }
 
-auto Runner::Run(RequestContext* exchange) -> asio::awaitable<void> {
+auto Runner::Run(RequestContext* context) -> asio::awaitable<void> {
   ++active_;
-  co_await RunCounted(exchange);
+  co_await RunCounted(context);
   --active_;
 }
 
-void Runner::LogEnd(const RequestContext& exchange, const Refusal& final) {
+void Runner::LogEnd(const RequestContext& context, const Refusal& final) {
   Log(LogLevel::kInfo,
       final.status == 200 ? "request-answered" : "request-refused",
-      {{"request", exchange.request_id},
-       {"caller_id", exchange.caller_id},
-       {"workspace", exchange.workspace->name},
+      {{"request", context.request_id},
+       {"caller_id", context.caller_id},
+       {"workspace", context.workspace->name},
        {"status", final.status},
        {"verdict", ToString(final.verdict)},
        {"reason", final.reason},
-       {"route", exchange.route == nullptr ? "" : exchange.route->name},
-       {"prompt_tokens", exchange.work.prompt_tokens},
-       {"asked_before_ms", AskedBefore(exchange).count()},
-       {"attempts", exchange.attempts},
-       {"events", exchange.progress.meter.events()},
-       {"first_byte_ms", exchange.first_byte > Millis(0)
-                             ? (exchange.first_byte - exchange.received).count()
+       {"route", context.route == nullptr ? "" : context.route->name},
+       {"prompt_tokens", context.work.prompt_tokens},
+       {"asked_before_ms", SinceFirstAttempt(context).count()},
+       {"attempts", context.attempts},
+       {"events", context.progress.meter.events()},
+       {"first_byte_ms", context.first_byte > Millis(0)
+                             ? (context.first_byte - context.received).count()
                              : -1},
-       {"took_ms", (kernel_->Now() - exchange.received).count()}});
+       {"took_ms", (kernel_->Now() - context.received).count()}});
 }
 
-auto Runner::Deliver(RequestContext* exchange, const Refusal& final)
+auto Runner::Deliver(RequestContext* context, const Refusal& final)
     -> asio::awaitable<void> {
-  ClientStream& caller = *exchange->caller;
-  // Once an answer has begun, the truth is told by not ending it.
-  if (final.status == 200 || caller.began() || caller.gone())
+  ClientStream& client = *context->client;
+  // Once an answer has begun, the only way to report the failure is not to
+  // complete it.
+  if (final.status == 200 || client.began() || client.gone())
     co_return;
-  if (exchange->failed)
-    co_await forward_->SendFailed(exchange);
+  if (context->failed_answer)
+    co_await forward_->SendFailed(context);
   else
-    co_await caller.Answer(dialect_->refusal(final, *exchange));
+    co_await client.Answer(protocol_->refusal(final, *context));
 }
 
-auto Runner::RunCounted(RequestContext* exchange) -> asio::awaitable<void> {
-  ClientStream& caller = *exchange->caller;
-  caller.Watch([this, exchange] { OnCallerGone(exchange); });
-  const Refusal final = co_await Settle(exchange);
-  caller.EndWatch();
+auto Runner::RunCounted(RequestContext* context) -> asio::awaitable<void> {
+  ClientStream& client = *context->client;
+  client.Watch([this, context] { OnClientGone(context); });
+  const Refusal final = co_await RunWithClaim(context);
+  client.EndWatch();
   metrics_->CountAnswer(final.status, ToString(final.verdict));
-  LogEnd(*exchange, final);
-  co_await Deliver(exchange, final);
+  LogEnd(*context, final);
+  co_await Deliver(context, final);
 }
 
 }  // namespace sparbend
--- a/sparbend/services/runner.h
+++ b/sparbend/services/runner.h
@@ -1,6 +1,6 @@
-// The service "runner": takes an accepted request to its final answer. Gets
-// it a slot, makes the attempts, decides on retries, and tells the caller
-// what is known when there is no whole answer.
+// The service "runner": runs an accepted request until its final answer.
+// Acquires a slot, makes the attempts, decides on retries, and answers with a
+// refusal that carries the verdict if no target gave a complete answer.
 #ifndef SPARBEND_SERVICES_RUNNER_H_
 #define SPARBEND_SERVICES_RUNNER_H_
 
@@ -25,41 +25,59 @@
 
   void Start() override;
 
-  // Runs `exchange` to its end: when this returns the caller has its whole
-  // answer or refusal, or its connection must be closed.
-  auto Run(RequestContext* exchange) -> asio::awaitable<void>;
+  // Runs the request of `context`. When this returns, the client has received
+  // its complete answer or refusal, or its connection must be closed.
+  auto Run(RequestContext* context) -> asio::awaitable<void>;
 
-  // Requests being run, for draining.
+  // Requests that are being run. A box that drains waits until it is zero.
   auto active() const -> size_t { return active_; }
 
  private:
-  auto RunCounted(RequestContext* exchange) -> asio::awaitable<void>;
-  auto Attempts(RequestContext* exchange) -> asio::awaitable<Refusal>;
-  auto ClaimKey(const RequestContext& exchange)
+  // Run without counting the request in `active_`.
+  auto RunCounted(RequestContext* context) -> asio::awaitable<void>;
+  // Acquires slots and makes attempts until one succeeds or none is allowed.
+  // Returns the final status and verdict; status 200 if a target answered.
+  auto RunAttempts(RequestContext* context) -> asio::awaitable<Refusal>;
+  // Claims the request's idempotency key. Returns a refusal if the key is
+  // invalid, another copy of the request has claimed it, or the claim is
+  // undecided.
+  auto ClaimKey(const RequestContext& context)
       -> asio::awaitable<std::optional<Refusal>>;
-  auto Settle(RequestContext* exchange) -> asio::awaitable<Refusal>;
-  auto MayTryAgain(const RequestContext& exchange, const AttemptResult& result)
+  // Runs the attempts. If the request must run at most once and has an
+  // idempotency key, claims the key before, and releases it if no target may
+  // have executed the request.
+  auto RunWithClaim(RequestContext* context) -> asio::awaitable<Refusal>;
+  // Whether another attempt follows one that ended with `result`. Spends the
+  // retry budget if so.
+  auto ShouldRetry(const RequestContext& context, const AttemptResult& result)
       -> bool;
-  auto TakeBudget(const RequestContext& exchange) -> bool;
-  // Gives the request its fingerprint if one like it is under suspicion.
-  void Identify(RequestContext* exchange);
-  // Why nothing is to be sent, if a target in the list may have left and ended
-  // by the time a request arrives.
-  auto WhyListTooOld() -> std::optional<Refusal>;
-  // Why it is not to be sent, if targets ended under it.
-  auto WhyQuarantined(RequestContext* exchange) -> std::optional<Refusal>;
-  auto Attempt(RequestContext* exchange, const Slot& slot)
+  // Spends one retry of the budget; false if none is left.
+  auto SpendRetryBudget(const RequestContext& context) -> bool;
+  // Computes the request's fingerprint if requests to its path are suspected of
+  // crashing targets.
+  void SetFingerprintIfSuspected(RequestContext* context);
+  // Returns a refusal if the list of targets is so old that a target in it may
+  // have left and exited by the time a request arrives there.
+  auto CheckTargetList() -> std::optional<Refusal>;
+  // Returns a refusal if the request is quarantined because targets exited
+  // while they executed it.
+  auto CheckQuarantine(RequestContext* context) -> std::optional<Refusal>;
+  auto Attempt(RequestContext* context, const Slot& slot)
       -> asio::awaitable<AttemptResult>;
-  void CountFresh(const RequestContext& exchange);
-  auto Deliver(RequestContext* exchange, const Refusal& final)
+  // Counts a request's first attempt towards the retry budget.
+  void RecordFirstAttempt(const RequestContext& context);
+  // Sends the answer for a request that no target answered to the end, unless
+  // part of an answer has been sent.
+  auto Deliver(RequestContext* context, const Refusal& final)
       -> asio::awaitable<void>;
-  void LogSent(const RequestContext& exchange, const Slot& slot);
-  void LogFailed(const RequestContext& exchange,
+  void LogSent(const RequestContext& context, const Slot& slot);
+  void LogFailed(const RequestContext& context,
                  const Slot& slot,
                  const AttemptResult& result);
-  void LogEnd(const RequestContext& exchange, const Refusal& final);
-  void OnCallerGone(RequestContext* exchange);
-  auto FinalRefusal(const RequestContext& exchange, const AttemptResult& result)
+  void LogEnd(const RequestContext& context, const Refusal& final);
+  void OnClientGone(RequestContext* context);
+  // The refusal after the last attempt has failed with `result`.
+  auto FinalRefusal(const RequestContext& context, const AttemptResult& result)
       -> Refusal;
 
   Kernel* kernel_;
@@ -68,9 +86,9 @@
   std::shared_ptr<Forward> forward_;
   std::shared_ptr<Claims> claims_;
   std::shared_ptr<Metrics> metrics_;
-  std::shared_ptr<ClientProtocol> dialect_;
-  std::map<std::string, RetryBudget> budgets_;  // by workspace
-  // By pool; used instead where the settings name the fleet's limits.
+  std::shared_ptr<ClientProtocol> protocol_;
+  std::map<std::string, RetryBudget> workspace_budgets_;  // by workspace
+  // By pool; used instead if the settings limit retries over the fleet.
   std::map<std::string, FleetRetryBudget> fleet_budgets_;
   std::mt19937_64 random_;
   size_t active_ = 0;
--- a/sparbend/services/target_probe.cc
+++ b/sparbend/services/target_probe.cc
@@ -5,11 +5,11 @@
 namespace sparbend {
 namespace {
 
-// The first try comes soon: most often a single packet was lost. Then they
-// come ever more rarely, but within the time in which a healed cut should be
-// of use again.
-constexpr Millis kFirstPause = Millis(50);
-constexpr Millis kLongestPause = Millis(1'000);
+// The first probe comes soon, because most often only a single packet was lost.
+// The delay then doubles up to a limit, within which a target should be used
+// again after a network partition has healed.
+constexpr Millis kInitialRetryDelay = Millis(50);
+constexpr Millis kMaxRetryDelay = Millis(1'000);
 
 }  // namespace
 
@@ -19,16 +19,17 @@
 
 void TargetProbe::Watch(TargetId target, tcp::endpoint address) {
   if (watched_.insert(target).second)
-    kernel_->Spawn("target-probe", Run(target, address));
+    kernel_->Spawn("target-probe", ProbeUntilReachable(target, address));
 }
 
-auto TargetProbe::Run(TargetId target, tcp::endpoint address)
+auto TargetProbe::ProbeUntilReachable(TargetId target, tcp::endpoint address)
     -> asio::awaitable<void> {
-  Millis pause = kFirstPause;
+  Millis delay = kInitialRetryDelay;
   while (scheduler_->node().FindTarget(target) != nullptr) {
-    co_await Sleep(pause);
-    pause = std::min(kLongestPause, pause + pause);
-    // A connection takes up a place at a target that has none to spare.
+    co_await Sleep(delay);
+    delay = std::min(kMaxRetryDelay, delay + delay);
+    // Even an idle connection uses up capacity of a target that is rejecting
+    // requests for lack of it.
     const TargetBackoff& backoff =
         scheduler_->node().ingress_scheduler().placement().backoff();
     if (backoff.Left(target, kernel_->Now()) > Millis(0))
--- a/sparbend/services/target_probe.h
+++ b/sparbend/services/target_probe.h
@@ -1,6 +1,6 @@
-// The service "target-probe": watches over targets that no connection could be
-// made to, and says when one can be made again. No request is put at risk to
-// find that out, and nothing is sent on the connection.
+// The service "target-probe": probes targets to which no connection could be
+// made, and reports to the scheduler when they accept connections again. It
+// opens connections without sending anything, so no request is risked.
 #ifndef SPARBEND_SERVICES_TARGET_PROBE_H_
 #define SPARBEND_SERVICES_TARGET_PROBE_H_
 
@@ -21,11 +21,13 @@
 
   void Start() override;
 
-  // Tries to reach `target` until it can or the target left the list.
+  // Probes `target` until it accepts a connection or is no longer in the list.
+  // Does nothing if it is being probed already.
   void Watch(TargetId target, tcp::endpoint address);
 
  private:
-  auto Run(TargetId target, tcp::endpoint address) -> asio::awaitable<void>;
+  auto ProbeUntilReachable(TargetId target, tcp::endpoint address)
+      -> asio::awaitable<void>;
 
   Kernel* kernel_;
   Millis connect_time_;
