--- a/daemon/main.cc
+++ b/daemon/main.cc
@@ -95,8 +95,8 @@
     kernel_.Register("claims", std::make_shared<Claims>(&kernel_, settings_));
     kernel_.Register("list",
                      std::make_shared<ListService>(&kernel_, settings_));
-    kernel_.Register("caller-dialect", MakeOwnCallerDialect(settings_));
-    kernel_.Register("target-dialect", MakeOwnTargetDialect());
+    kernel_.Register("caller-dialect", MakeOwnClientProtocol(settings_));
+    kernel_.Register("target-dialect", MakeOwnTargetProtocol());
   }
 
   // No claims: every request enters at one box under an id of its own.
--- a/sparbend/services/declarations.cc
+++ b/sparbend/services/declarations.cc
@@ -192,11 +192,11 @@
     const Millis hold = waits ? kHold : Millis(0);
     const Result<KeyedPage> page = co_await reader.Step(hold);
     if (!page) {
-      store_.OnBad(page.error().detail, kernel_->Now());
+      store_.RecordFailure(page.error().detail, kernel_->Now());
       co_await Sleep(store_.pause());
       continue;
     }
-    store_.OnGood(kernel_->Now());
+    store_.RecordSuccess(kernel_->Now());
     TakePage(*page);
   }
 }
--- a/sparbend/services/dependency.cc
+++ b/sparbend/services/dependency.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void Dependency::OnGood(Millis now) {
+void Dependency::RecordSuccess(Millis now) {
   last_good_ = now;
   consecutive_failures_ = 0;
   if (!lost_)
@@ -26,7 +26,7 @@
       {{"dependency", name_}, {"away_ms", (now - lost_since_).count()}});
 }
 
-void Dependency::OnBad(const std::string& why, Millis now) {
+void Dependency::RecordFailure(const std::string& why, Millis now) {
   ++consecutive_failures_;
   if (lost_)
     return;
--- a/sparbend/services/dependency.h
+++ b/sparbend/services/dependency.h
@@ -15,8 +15,8 @@
   explicit Dependency(std::string name) : name_(std::move(name)) {}
 
   // Record the result of a call; `why` is the error for the log.
-  void OnGood(Millis now);
-  void OnBad(const std::string& why, Millis now);
+  void RecordSuccess(Millis now);
+  void RecordFailure(const std::string& why, Millis now);
 
   auto lost() const -> bool { return lost_; }
   // How long to wait before the next call: longer the more calls in a row have
--- a/sparbend/services/directory.cc
+++ b/sparbend/services/directory.cc
@@ -284,12 +284,12 @@
   const Result<KeyedPage> page = co_await reader->Step(Millis(0));
   const Millis now = kernel_->Now();
   if (!page) {
-    store_.OnBad(page.error().detail, now);
+    store_.RecordFailure(page.error().detail, now);
     scheduler_->node().OnStoreFailed(sent);
     co_await Sleep(store_.pause());
     co_return;
   }
-  store_.OnGood(now);
+  store_.RecordSuccess(now);
   scheduler_->node().OnStoreAnswered(now);
   bool changed = TakeTargets(*page) || !known_;
   if (!scheduler_->node().store_contact().RecordsMayLapse(now))
--- a/sparbend/services/forward.cc
+++ b/sparbend/services/forward.cc
@@ -300,7 +300,7 @@
     }
     *facts = target_protocol_->read_answer(context, current.get().base());
     ReportTargetState(slot, *facts);
-    if (facts->kind != AnswerFacts::Kind::kForeign)
+    if (facts->kind != AnswerFacts::Kind::kOtherRequest)
       co_return AttemptResult{true, Verdict::kMayHaveRun, "", true,
                               TargetOutcome::kGood};
     connection->must_close = true;
@@ -432,7 +432,7 @@
       const bool sent = co_await RelayPiece(context, {piece.data(), size});
       scheduler_->Progress(
           context->id, progress.meter.events() * context->pool->output_weight);
-      if (!sent && (!context->once || !context->finish_unwatched))
+      if (!sent && (!context->once || !context->finish_without_client))
         co_return ClientDisconnected();
     }
     if (error)
@@ -475,7 +475,7 @@
   if (parser->is_done())
     length = body.size();
   http::response_header<> answer = ClientAnswerHeader(header);
-  client_protocol_->dress_answer(*context, &answer);
+  client_protocol_->add_answer_fields(*context, &answer);
   context->progress.began = true;
   co_await context->client->Begin(answer, length);
   if (!body.empty())
@@ -499,7 +499,7 @@
 
 auto Forward::SendFailed(RequestContext* context) -> asio::awaitable<bool> {
   FailedAnswer& failed = *context->failed_answer;
-  client_protocol_->dress_answer(*context, &failed.header);
+  client_protocol_->add_answer_fields(*context, &failed.header);
   if (!co_await context->client->Begin(failed.header, failed.body.size()))
     co_return false;
   if (!failed.body.empty())
@@ -542,7 +542,7 @@
     progress.is_stream = true;
     if (!progress.began) {
       http::response_header<> answer = ClientAnswerHeader(header);
-      client_protocol_->dress_answer(*context, &answer);
+      client_protocol_->add_answer_fields(*context, &answer);
       progress.began = true;
       std::optional<uint64_t> length;
       if (const auto stated = parser->content_length())
--- a/sparbend/services/frontend.cc
+++ b/sparbend/services/frontend.cc
@@ -369,7 +369,7 @@
   context.client = &client;
   context.request = parser.release();
   if (!refusal)
-    refusal = protocol_->read_whole(&context);
+    refusal = protocol_->read_complete_request(&context);
   if (refusal) {
     co_await Refuse(&client, context, *refusal);
     co_return client.reusable();
--- a/sparbend/services/own_protocol.cc
+++ b/sparbend/services/own_protocol.cc
@@ -126,27 +126,27 @@
   return response;
 }
 
-auto MakeOwnCallerDialect(const Settings& settings)
+auto MakeOwnClientProtocol(const Settings& settings)
     -> std::shared_ptr<ClientProtocol> {
   auto protocol = std::make_shared<ClientProtocol>();
   protocol->read_head = [settings](const http::request_header<>& head,
                                    RequestContext* context) {
     return ReadHead(settings, head, context);
   };
-  protocol->read_whole = ReadCompleteRequest;
+  protocol->read_complete_request = ReadCompleteRequest;
   protocol->refusal = [](const Refusal& refusal,
                          const RequestContext& context) {
     return ProblemResponse(refusal, context.request_id);
   };
-  protocol->dress_answer = [](const RequestContext& context,
-                              http::response_header<>* header) {
+  protocol->add_answer_fields = [](const RequestContext& context,
+                                   http::response_header<>* header) {
     header->set(std::string(kRequestField), context.request_id);
     header->set(std::string(kVerdictField), ToString(Verdict::kRan));
   };
   return protocol;
 }
 
-auto MakeOwnTargetDialect() -> std::shared_ptr<TargetProtocol> {
+auto MakeOwnTargetProtocol() -> std::shared_ptr<TargetProtocol> {
   auto protocol = std::make_shared<TargetProtocol>();
   protocol->request_head = [](const RequestContext& context, const Slot& slot,
                               Millis /*time_left*/,
--- a/sparbend/services/own_protocol.h
+++ b/sparbend/services/own_protocol.h
@@ -11,9 +11,9 @@
 
 namespace sparbend {
 
-auto MakeOwnCallerDialect(const Settings& settings)
+auto MakeOwnClientProtocol(const Settings& settings)
     -> std::shared_ptr<ClientProtocol>;
-auto MakeOwnTargetDialect() -> std::shared_ptr<TargetProtocol>;
+auto MakeOwnTargetProtocol() -> std::shared_ptr<TargetProtocol>;
 
 // A refusal in the router's own protocol: a problem document that includes the
 // verdict and the request's id.
--- a/sparbend/services/protocol.h
+++ b/sparbend/services/protocol.h
@@ -26,21 +26,21 @@
       read_head;
   // Reads what depends on the complete `request` of the context. Returns the
   // refusal if the request must not be continued.
-  std::function<std::optional<Refusal>(RequestContext*)> read_whole;
+  std::function<std::optional<Refusal>(RequestContext*)> read_complete_request;
   // The answer to a request that no target answers.
   std::function<StringResponse(const Refusal&, const RequestContext&)> refusal;
   // Adds the router's own fields to a target's answer.
   std::function<void(const RequestContext&, http::response_header<>*)>
-      dress_answer;
+      add_answer_fields;
 };
 
 // What the header of a target's answer says.
 struct AnswerFacts {
   enum class Kind {
-    kAnswer,   // the target's answer to this request
-    kNotRun,   // the target did not execute the request and will not
-    kForeign,  // an answer to another request
-    kInvalid,  // proves nothing: the request may have been executed
+    kAnswer,        // the target's answer to this request
+    kNotRun,        // the target did not execute the request and will not
+    kOtherRequest,  // an answer to another request
+    kInvalid,       // proves nothing: the request may have been executed
   };
   Kind kind = Kind::kAnswer;
   std::string why;  // for the log, if kind is not kAnswer
--- a/sparbend/services/request_context.h
+++ b/sparbend/services/request_context.h
@@ -49,10 +49,10 @@
   std::string idempotency_key;
   bool once = false;  // must be executed at most once
   bool streaming = false;
-  bool resumable = false;        // another target may continue its stream
-  bool finish_unwatched = true;  // if once: go on when the client left
-  int max_runs = kMaxAttempts;   // limit of `runs`
-  uint64_t prefix = 0;           // hash of the prompt's start; zero: none
+  bool resumable = false;             // another target may continue its stream
+  bool finish_without_client = true;  // if once: go on when the client left
+  int max_runs = kMaxAttempts;        // limit of `runs`
+  uint64_t prefix = 0;                // hash of the prompt's start; zero: none
   WorkFacts work;
   Millis received;
   Millis deadline;
--- a/sparbend/services/runner.cc
+++ b/sparbend/services/runner.cc
@@ -61,7 +61,7 @@
   metrics_->caller_left.Increment();
   scheduler_->Abandon(context->id);
   // A request that must not be repeated runs to its end if that is configured.
-  const bool finish = context->once && context->finish_unwatched;
+  const bool finish = context->once && context->finish_without_client;
   if (!finish && context->cancel)
     context->cancel();
 }
