--- a/sparbend/services/declarations.cc
+++ b/sparbend/services/declarations.cc
@@ -204,11 +204,11 @@
     const Millis wait = is_store_reader ? kStoreReadWait : Millis(0);
     const Result<KeyedPage> page = co_await reader.Step(wait);
     if (!page) {
-      store_.OnBad(page.error().detail, kernel_->Now());
+      store_.RecordFailure(page.error().detail, kernel_->Now());
       co_await Sleep(store_.pause());
       continue;
     }
-    store_.OnGood(kernel_->Now());
+    store_.RecordSuccess(kernel_->Now());
     ApplyPage(*page);
   }
 }
