--- a/ctl/log_lines.cc
+++ b/ctl/log_lines.cc
@@ -1,4 +1,3 @@
-// Lines are bounded, so that a file that is no log costs little memory.
 #include "ctl/log_lines.h"
 
 #include <fstream>
@@ -7,12 +6,14 @@
 namespace sparbend::ctl {
 namespace {
 
-constexpr size_t kMostLineBytes = 64 * 1024;
+// Longer objects are not parsed, so that a file that is not a log costs little
+// memory.
+constexpr size_t kMaxLineBytes = 64 * 1024;
 
 }  // namespace
 
 auto ReadLogLines(std::istream& log,
-                  const std::function<void(const Json&)>& take) -> int {
+                  const std::function<void(const Json&)>& handle) -> int {
   int unreadable = 0;
   for (std::string line; std::getline(log, line);) {
     const size_t brace = line.find('{');
@@ -20,9 +21,9 @@
       unreadable += line.empty() ? 0 : 1;
       continue;
     }
-    const Result<Json> json = ParseJson(line.substr(brace), kMostLineBytes);
+    const Result<Json> json = ParseJson(line.substr(brace), kMaxLineBytes);
     if (json && json->is_object())
-      take(*json);
+      handle(*json);
     else
       ++unreadable;
   }
@@ -38,7 +39,7 @@
     }
     std::ifstream file(name);
     if (!file) {
-      std::cerr << "sparbendctl: can't read " << name << "\n";
+      std::cerr << "sparbendctl: can't open " << name << "\n";
       return false;
     }
     read(file);
--- a/ctl/log_lines.h
+++ b/ctl/log_lines.h
@@ -1,4 +1,4 @@
-// Reads the boxes' logs, for the commands that work on them.
+// Reads the log lines of boxes, for the commands trace and shares.
 #ifndef CTL_LOG_LINES_H_
 #define CTL_LOG_LINES_H_
 
@@ -11,20 +11,21 @@
 
 namespace sparbend::ctl {
 
-// Calls `take` with each line of `log`; the number of those that are no JSON
-// object. What stands before the first brace of a line is passed over.
+// Calls `handle` with the JSON object of each line of `log`. Text before the
+// first brace of a line is ignored.
+// Returns the number of lines without a valid object; empty lines don't count.
 auto ReadLogLines(std::istream& log,
-                  const std::function<void(const Json&)>& take) -> int;
+                  const std::function<void(const Json&)>& handle) -> int;
 
-// Opens `files` in turn ("-": standard input); false, after a word on
-// standard error, when one can't be read.
+// Opens `files` in turn ("-" is standard input) and calls `read` with each.
+// Stops at the first that can't be opened, prints an error and returns false.
 auto ReadLogFiles(const std::vector<std::string>& files,
                   const std::function<void(std::istream&)>& read) -> bool;
 
-// A text field of a line, empty where there is none.
+// Returns a text field of a line; empty if the line has no such field.
 auto LogText(const Json& line, const char* field) -> std::string;
 
-// A line's time, milliseconds of its box's wall clock.
+// Returns a line's time: Unix ms by the wall clock of its box.
 auto LogTime(const Json& line) -> int64_t;
 
 }  // namespace sparbend::ctl
--- a/ctl/main.cc
+++ b/ctl/main.cc
@@ -1,5 +1,5 @@
-// sparbendctl: the operators' tool. One command a call; exit codes stand in
-// ctl/session.h and docs/OPERATIONS.md.
+// sparbendctl: the operators' command-line tool. Each call runs one command.
+// The exit codes are listed in ctl/session.h and docs/OPERATIONS.md.
 #include <fstream>
 #include <iostream>
 
@@ -19,13 +19,13 @@
     "validate, diff, apply, get, history, status, explain, lift, drain, "
     "trace, shares, completion";
 
-constexpr const char* kCompletion =
+constexpr const char* kCompletionScript =
     "complete -W \"validate diff apply get history status explain lift drain "
     "trace shares completion --log --box --token-file --author --reason "
     "--change "
     "--dry-run --prune --wait --json\" sparbendctl\n";
 
-// The command line, as TCLAP reads it.
+// The options and arguments of the command line; TCLAP parses them.
 struct Arguments {
   TCLAP::CmdLine line{
       "sparbendctl COMMAND [ARGUMENT...]: operate a sparbend fleet. "
@@ -48,15 +48,15 @@
   TCLAP::ValueArg<std::string> change{
       "", "change", "Show only this change id", false, "", "ID", line};
   TCLAP::ValueArg<int64_t> wait_seconds{
-      "", "wait-seconds", "How long --wait waits", false, 30, "N", line};
-  TCLAP::SwitchArg dry_run{"", "dry-run", "Only show what apply would do",
+      "", "wait-seconds", "Timeout of --wait in seconds", false, 30, "N", line};
+  TCLAP::SwitchArg dry_run{"", "dry-run", "Only print what apply would change",
                            line};
   TCLAP::SwitchArg prune{"", "prune",
                          "Also remove documents that are not declared", line};
   TCLAP::SwitchArg wait{
-      "w", "wait", "Wait until in force on every live box (needs --box)", line};
+      "w", "wait", "Wait until active on every live box (needs --box)", line};
   TCLAP::SwitchArg json{"j", "json", "Print JSON", line};
-  TCLAP::UnlabeledMultiArg<std::string> rest{
+  TCLAP::UnlabeledMultiArg<std::string> operands{
       "argument", "Files, directories, a document or a workspace", false,
       "ARGUMENT", line};
 };
@@ -79,17 +79,17 @@
   return problems.empty() ? kExitOk : kExitInvalid;
 }
 
-// The commands that take declarations: validate, diff, apply.
-auto RunDeclared(Arguments& arguments, Session* session) -> int {
+// Runs the commands that take declarations: validate, diff and apply.
+auto RunDeclarationCommand(Arguments& arguments, Session* session) -> int {
   const std::string& command = arguments.command.getValue();
   std::vector<std::string> problems;
   const Declarations declarations =
-      LoadDeclarations(arguments.rest.getValue(), &problems);
-  if (arguments.rest.getValue().empty())
+      LoadDeclarations(arguments.operands.getValue(), &problems);
+  if (arguments.operands.getValue().empty())
     problems.push_back("sparbendctl: " + command +
                        " needs files or directories");
-  const std::vector<std::string> checked = CheckDeclarations(declarations);
-  problems.insert(problems.end(), checked.begin(), checked.end());
+  const std::vector<std::string> invalid = CheckDeclarations(declarations);
+  problems.insert(problems.end(), invalid.begin(), invalid.end());
   if (const int code = PrintProblems(problems); code != kExitOk)
     return code;
   if (command == "validate") {
@@ -114,28 +114,30 @@
 
 auto Run(Arguments& arguments) -> int {
   const std::string& command = arguments.command.getValue();
-  const std::string first = arguments.rest.getValue().empty()
+  const std::string first = arguments.operands.getValue().empty()
                                 ? ""
-                                : arguments.rest.getValue().front();
+                                : arguments.operands.getValue().front();
   const bool json = arguments.json.getValue();
   if (command == "trace") {
-    const std::vector<std::string>& rest = arguments.rest.getValue();
-    if (rest.empty()) {
-      std::cerr << "sparbendctl: trace needs an id, and logs or -\n";
+    const std::vector<std::string>& operands = arguments.operands.getValue();
+    if (operands.empty()) {
+      std::cerr
+          << "sparbendctl: trace needs a request id, and optionally log files "
+             "or - for standard input\n";
       return kExitInvalid;
     }
-    const std::vector<std::string> files(rest.begin() + 1, rest.end());
+    const std::vector<std::string> files(operands.begin() + 1, operands.end());
     return ShowTrace(first,
                      files.empty() ? std::vector<std::string>{"-"} : files);
   }
   if (command == "shares") {
-    const std::vector<std::string>& files = arguments.rest.getValue();
+    const std::vector<std::string>& files = arguments.operands.getValue();
     return ShowShares(files.empty() ? std::vector<std::string>{"-"} : files);
   }
   Session session(arguments.log.getValue(), arguments.box.getValue(),
                   ReadToken(arguments.token_file.getValue()));
   if (command == "validate" || command == "diff" || command == "apply")
-    return RunDeclared(arguments, &session);
+    return RunDeclarationCommand(arguments, &session);
   if (command == "get")
     return ShowDocuments(&session, first, json);
   if (command == "history")
@@ -149,11 +151,11 @@
   if (command == "drain")
     return Drain(&session);
   if (command == "completion") {
-    std::cout << kCompletion;
+    std::cout << kCompletionScript;
     return kExitOk;
   }
-  std::cerr << "sparbendctl: no command " << command << "; there are "
-            << kCommands << "\n";
+  std::cerr << "sparbendctl: unknown command " << command
+            << "; expected one of " << kCommands << "\n";
   return kExitInvalid;
 }
 
--- a/ctl/shares.h
+++ b/ctl/shares.h
@@ -1,6 +1,7 @@
-// The command shares: what each workspace asked of model engines and was
-// served, second by second over the whole fleet, from the boxes' logs; and the
-// spans in which one came nearest to less than half of its due.
+// The command shares: computes from the boxes' logs how many prompt tokens each
+// workspace requested of model engines and was served, per second and over the
+// whole fleet, and prints the spans in which a workspace was served the least
+// of its fair share. The fleet promises at least half of it.
 #ifndef CTL_SHARES_H_
 #define CTL_SHARES_H_
 
@@ -13,46 +14,47 @@
 
 namespace sparbend::ctl {
 
-// Prompt tokens of one workspace in one second.
-struct Service {
+// Prompt tokens of one workspace in one second or in one span.
+struct TokenCounts {
   int64_t served = 0;   // of requests whose answer began
-  int64_t refused = 0;  // of those that ended without
+  int64_t refused = 0;  // of requests that ended without an answer
 
-  auto asked() const -> int64_t { return served + refused; }
-  auto operator==(const Service&) const -> bool = default;
+  auto requested() const -> int64_t { return served + refused; }
+  auto operator==(const TokenCounts&) const -> bool = default;
 };
 
-// By second of the boxes' wall clocks, then by workspace.
-using ServiceBySecond = std::map<int64_t, std::map<std::string, Service>>;
+// Keyed by second (Unix time by the boxes' wall clocks), then by workspace.
+using TokensBySecond = std::map<int64_t, std::map<std::string, TokenCounts>>;
 
-// How near a workspace that was refused requests in every second of a span
-// came to less than half of its due.
+// A workspace that was refused requests in every second of a span, compared
+// with the workspace that was served most in it.
 struct ShareSpan {
-  int64_t from = 0;  // first second
+  int64_t from = 0;  // first second, Unix time
   std::string workspace;
-  Service service;
-  std::string best_workspace;  // the best served one
+  TokenCounts tokens;
+  std::string best_workspace;  // the one that was served most
   int64_t best_served = 0;
 
-  // What it was served, over the lesser of what it asked and what the best
-  // served workspace got; the promise is a half.
+  // Tokens served, divided by the smaller of the tokens requested and the
+  // tokens that the best served workspace got; 1 if that is zero. The fleet
+  // promises at least 0.5.
   auto ratio() const -> double;
   auto operator==(const ShareSpan&) const -> bool = default;
 };
 
-// Adds the requests of `log`; the number of lines that can't be read.
-// What stands before the first brace of a line is passed over.
-auto ReadService(std::istream& log, ServiceBySecond* service) -> int;
+// Adds the requests of `log` to `tokens`. Text before the first brace of a line
+// is ignored. Returns the number of lines that can't be parsed.
+auto ReadTokenCounts(std::istream& log, TokensBySecond* tokens) -> int;
 
-// All spans of kSpanSeconds in which a workspace was always refused some of
-// what it asked, the least ratio first.
-auto FindShareSpans(const ServiceBySecond& service) -> std::vector<ShareSpan>;
+// Returns all spans of kSpanSeconds in which a workspace was refused requests
+// in every second, sorted by ratio, the lowest first.
+auto FindShareSpans(const TokensBySecond& tokens) -> std::vector<ShareSpan>;
 
-// The promise on fair shares is kept over so many seconds.
+// The promise on fair shares applies to spans of this length.
 inline constexpr int64_t kSpanSeconds = 6;
 
-// Reads `files` ("-": standard input) and prints the worst spans; the exit
-// code is that of a failure when a file can't be read.
+// Reads `files` ("-" is standard input) and prints the spans with the lowest
+// ratios. Returns kExitInvalid if a file can't be opened.
 auto ShowShares(const std::vector<std::string>& files) -> int;
 
 }  // namespace sparbend::ctl
--- a/ctl/shares_test.cc
+++ b/ctl/shares_test.cc
@@ -9,14 +9,14 @@
 namespace sparbend::ctl {
 namespace {
 
-constexpr int64_t kStart = 1'000;  // second
+constexpr int64_t kStartSecond = 1'000;
 
-// One second in which `workspace` is served and refused so many tokens. The
-// answer began 300 ms before it ended.
-auto Lines(int64_t second,
-           const char* workspace,
-           int64_t served,
-           int64_t refused) -> std::string {
+// Log lines of one second in which `workspace` is served and refused the given
+// numbers of tokens. The answer began 300 ms before it was complete.
+auto LogLines(int64_t second,
+              const char* workspace,
+              int64_t served,
+              int64_t refused) -> std::string {
   Json answered = {{"event", "request-answered"},
                    {"time", second * 1'000 + 1'200},
                    {"workspace", workspace},
@@ -33,43 +33,43 @@
 
 TEST_GROUP(Shares){};
 
-TEST(Shares, TheSpanNearestToLessThanHalfComesFirst) {
+TEST(Shares, SpansAreSortedByRatio) {
   struct Case {
     const char* what;
     int64_t small_served;
-    int64_t small_refused;  // a second, in all seconds but the last
+    int64_t small_refused;  // per second, in all seconds but the last
     int64_t last_refused;
     bool found;
     double ratio;
   };
   const Case cases[] = {
       {"a third of the best", 100, 900, 900, true, 1.0 / 3},
-      {"all but a little of what it asked", 100, 25, 25, true, 0.8},
-      {"content in the last second", 100, 900, 0, false, 0},
+      {"most of what it requested", 100, 25, 25, true, 0.8},
+      {"nothing refused in the last second", 100, 900, 0, false, 0},
   };
   for (const Case& row : cases) {
     std::string log = "not a log line\n";
     for (int64_t i = 0; i < kSpanSeconds; ++i) {
       const bool last = i + 1 == kSpanSeconds;
-      log += Lines(kStart + i, "small", row.small_served,
-                   last ? row.last_refused : row.small_refused);
-      log += Lines(kStart + i, "large", 300, 0);
+      log += LogLines(kStartSecond + i, "small", row.small_served,
+                      last ? row.last_refused : row.small_refused);
+      log += LogLines(kStartSecond + i, "large", 300, 0);
     }
     std::istringstream in(log);
-    ServiceBySecond service;
-    LONGS_EQUAL(1, ReadService(in, &service));
-    const std::vector<ShareSpan> spans = FindShareSpans(service);
+    TokensBySecond tokens;
+    LONGS_EQUAL(1, ReadTokenCounts(in, &tokens));
+    const std::vector<ShareSpan> spans = FindShareSpans(tokens);
     CHECK_EQUAL_TEXT(row.found, !spans.empty(), row.what);
     if (spans.empty())
       continue;
     STRCMP_EQUAL_TEXT("small", spans[0].workspace.c_str(), row.what);
     STRCMP_EQUAL_TEXT("large", spans[0].best_workspace.c_str(), row.what);
-    LONGS_EQUAL_TEXT(kStart, spans[0].from, row.what);
+    LONGS_EQUAL_TEXT(kStartSecond, spans[0].from, row.what);
     DOUBLES_EQUAL_TEXT(row.ratio, spans[0].ratio(), 0.001, row.what);
   }
 }
 
-TEST(Shares, ARequestCountsOnceAsItEnded) {
+TEST(Shares, ARequestIsCountedOnceByItsOutcome) {
   struct Case {
     const char* line;
     int64_t served;
@@ -89,9 +89,9 @@
   };
   for (const Case& row : cases) {
     std::istringstream in(row.line);
-    ServiceBySecond service;
-    LONGS_EQUAL_TEXT(0, ReadService(in, &service), row.line);
-    const Service counted = service[1]["w"];
+    TokensBySecond tokens;
+    LONGS_EQUAL_TEXT(0, ReadTokenCounts(in, &tokens), row.line);
+    const TokenCounts counted = tokens[1]["w"];
     LONGS_EQUAL_TEXT(row.served, counted.served, row.line);
     LONGS_EQUAL_TEXT(row.refused, counted.refused, row.line);
   }
--- a/ctl/trace.cc
+++ b/ctl/trace.cc
@@ -1,6 +1,7 @@
-// A request keeps one id per box that took it; a caller's own id joins the
-// lines of several boxes. Times are the boxes' wall clocks, which may differ
-// by a little; lines of one box keep their order.
+// Each box that accepts a request gives it an id of its own; the client's id
+// joins the lines of several boxes. Times are by the boxes' wall clocks, which
+// may differ a little, so the order of lines of different boxes is approximate.
+// Lines with the same time keep the order of the log.
 #include "ctl/trace.h"
 
 #include <algorithm>
@@ -13,8 +14,9 @@
 namespace sparbend::ctl {
 namespace {
 
-// The fields that matter to a reader, in a fixed order.
-auto Fields(const Json& line) -> std::string {
+// Formats the fields that explain what happened to the request, in a fixed
+// order.
+auto FormatFields(const Json& line) -> std::string {
   std::ostringstream out;
   for (const char* field :
        {"workspace", "route", "target", "attempt", "attempts", "status",
@@ -28,14 +30,14 @@
   return out.str();
 }
 
-// Behind all lines that are not later.
-void AddInOrder(const Json& line, std::vector<Json>* lines) {
-  const auto place =
+// Inserts `line` after all lines that are not later.
+void InsertByTime(const Json& line, std::vector<Json>* lines) {
+  const auto position =
       std::ranges::upper_bound(*lines, LogTime(line), {}, LogTime);
-  lines->insert(place, line);
+  lines->insert(position, line);
 }
 
-auto Outcome(const std::vector<Json>& lines) -> std::string {
+auto DescribeOutcome(const std::vector<Json>& lines) -> std::string {
   for (auto line = lines.rbegin(); line != lines.rend(); ++line) {
     const std::string event = LogText(*line, "event");
     if (event == "request-answered")
@@ -45,19 +47,19 @@
              std::to_string(line->value("status", 0)) + ", " +
              LogText(*line, "verdict") + ": " + LogText(*line, "reason");
   }
-  return "no end was logged: the box ended, or its log does";
+  return "no outcome was logged: the box exited, or the log ends before it";
 }
 
 }  // namespace
 
 void ReadTrace(std::istream& log, const std::string& id, Trace* trace) {
   trace->unreadable += ReadLogLines(log, [&](const Json& line) {
-    const auto names = [&](const char* field) {
+    const auto has_id = [&](const char* field) {
       const auto found = line.find(field);
       return found != line.end() && *found == Json(id);
     };
-    if (names("request") || names("caller_id"))
-      AddInOrder(line, &trace->lines);
+    if (has_id("request") || has_id("caller_id"))
+      InsertByTime(line, &trace->lines);
   });
 }
 
@@ -65,11 +67,11 @@
   std::ostringstream out;
   for (const Json& line : trace.lines)
     out << LogTime(line) << "  " << LogText(line, "box") << "  "
-        << LogText(line, "event") << Fields(line) << "\n";
+        << LogText(line, "event") << FormatFields(line) << "\n";
   if (!trace.lines.empty())
-    out << Outcome(trace.lines) << "\n";
+    out << DescribeOutcome(trace.lines) << "\n";
   if (trace.unreadable > 0)
-    out << trace.unreadable << " lines were no log lines\n";
+    out << trace.unreadable << " lines are not log lines\n";
   return out.str();
 }
 
@@ -83,7 +85,7 @@
   std::cout << Describe(trace);
   if (!trace.lines.empty())
     return kExitOk;
-  std::cerr << "sparbendctl: no line names " << id << "\n";
+  std::cerr << "sparbendctl: no log line has the request id " << id << "\n";
   return kExitInvalid;
 }
 
--- a/ctl/trace.h
+++ b/ctl/trace.h
@@ -1,4 +1,5 @@
-// The command trace: the way of one request through the boxes' logs.
+// The command trace: collects the log lines of one request from the boxes'
+// logs.
 #ifndef CTL_TRACE_H_
 #define CTL_TRACE_H_
 
@@ -10,21 +11,22 @@
 
 namespace sparbend::ctl {
 
-// The lines of one request, in the order of their time.
+// The log lines of one request, sorted by time.
 struct Trace {
   std::vector<Json> lines;
-  int unreadable = 0;  // lines that are no JSON object
+  int unreadable = 0;  // number of lines that are not a JSON object
 };
 
-// Adds the lines of `log` that name `id` as the box's or the caller's own.
-// What stands before the first brace of a line is passed over.
+// Adds the lines of `log` whose request id of the box or of the client is `id`.
+// Text before the first brace of a line is ignored.
 void ReadTrace(std::istream& log, const std::string& id, Trace* trace);
 
-// One line an event, then what became of the request and why.
+// Returns one text line per event, then the outcome of the request and its
+// reason.
 auto Describe(const Trace& trace) -> std::string;
 
-// Reads `files` ("-": standard input) and prints the trace of `id`; the exit
-// code is that of a failure when the id is nowhere.
+// Reads `files` ("-" is standard input) and prints the trace of `id`. Returns
+// kExitInvalid if a file can't be opened or no line has the id.
 auto ShowTrace(const std::string& id, const std::vector<std::string>& files)
     -> int;
 
--- a/ctl/trace_test.cc
+++ b/ctl/trace_test.cc
@@ -18,7 +18,7 @@
 
 TEST_GROUP(Trace){};
 
-TEST(Trace, LinesOfOneRequestInTheirOrderWithItsEnd) {
+TEST(Trace, DescribesTheLinesAndTheOutcomeOfOneRequest) {
   struct Case {
     const char* id;
     size_t lines;
@@ -26,9 +26,9 @@
   };
   const Case cases[] = {
       {"c", 3, "failed at box b with status 503, not-run: no capacity"},
-      {"a-1", 2, "no end was logged"},
-      {"a-2", 1, "no end was logged"},
-      {"nobody", 0, "lines were no log lines"},
+      {"a-1", 2, "no outcome was logged"},
+      {"a-2", 1, "no outcome was logged"},
+      {"nobody", 0, "lines are not log lines"},
   };
   for (const Case& row : cases) {
     std::istringstream log(kLog);
@@ -41,7 +41,7 @@
   }
 }
 
-TEST(Trace, TimesDecideTheOrder) {
+TEST(Trace, LinesAreSortedByTime) {
   std::istringstream log(kLog);
   Trace trace;
   ReadTrace(log, "c", &trace);
