--- a/ctl/shares.cc
+++ b/ctl/shares.cc
@@ -1,9 +1,9 @@
 // A request is counted once, when it ends: as served in the second in which its
 // answer began, or as refused in the second of its refusal. Sending a request
-// doesn't count as service, since it may not have been executed; while a hall is
-// cut off a request may be sent many times. Two kinds of requests are left out:
-// those without prompt tokens, which are not for engines, and those that a box
-// refused before it knew their workspace.
+// doesn't count as service, since it may not have been executed; while a hall
+// is cut off a request may be sent many times. Two kinds of requests are left
+// out: those without prompt tokens, which are not for engines, and those that a
+// box refused before it knew their workspace.
 #include "ctl/shares.h"
 
 #include <algorithm>
--- a/daemon/main.cc
+++ b/daemon/main.cc
@@ -1,6 +1,7 @@
-// sparbendd: one entry box. Reads its settings, starts the services in order,
-// and on SIGTERM or an operator's drain stops as planned: readiness off, no
-// new connections, every request under way to its end.
+// sparbendd: the process of one ingress box. It reads its settings and starts
+// the services in order. On SIGTERM, SIGINT or an operator's drain it makes a
+// planned stop: it reports that it is not ready, accepts no new connections and
+// completes every request in progress.
 #include <csignal>
 #include <cstdlib>
 #include <iostream>
@@ -30,18 +31,20 @@
 namespace {
 
 constexpr int kExitUsage = 2;
-constexpr int kExitDrainCutShort = 3;
-constexpr Millis kDrainLook = Millis(20);
+constexpr int kExitDrainAborted = 3;
+constexpr Millis kDrainPollInterval = Millis(20);
 
-// Tenths of a second since 2025: rises with each start of a box, since a start
-// takes longer than that, and fits 32 bits for 13 years.
+// Returns the incarnation of this process: tenths of a second since 2025. It
+// increases with each start of a box, since a start takes longer than a tenth
+// of a second, and fits 32 bits for 13 years.
 auto Incarnation() -> uint32_t {
   constexpr int64_t kYear2025Ms = 1'735'689'600'000;
-  constexpr int64_t kTenthMs = 100;
-  return static_cast<uint32_t>((WallClock().count() - kYear2025Ms) / kTenthMs);
+  constexpr int64_t kMsPerTick = 100;
+  return static_cast<uint32_t>((WallClock().count() - kYear2025Ms) /
+                               kMsPerTick);
 }
 
-// All services of a box and its planned stop.
+// Owns all services of a box and carries out its planned stop.
 class Daemon {
  public:
   explicit Daemon(const Settings& settings)
@@ -66,8 +69,8 @@
     kernel_.Register("forward", std::make_shared<Forward>(&kernel_, settings_));
     runner_ = std::make_shared<Runner>(&kernel_, settings_);
     kernel_.Register("runner", runner_);
-    front_ = std::make_shared<Frontend>(&kernel_, settings_, incarnation);
-    kernel_.Register("front", front_);
+    frontend_ = std::make_shared<Frontend>(&kernel_, settings_, incarnation);
+    kernel_.Register("front", frontend_);
     admin_ = std::make_shared<Admin>(&kernel_, settings_, [this] { Drain(); });
     kernel_.Register("admin", admin_);
     kernel_.Start();
@@ -79,7 +82,7 @@
     Log(LogLevel::kInfo, "started",
         {{"version", SPARBEND_VERSION},
          {"hall", settings_.hall},
-         {"callers", front_->address()},
+         {"callers", frontend_->address()},
          {"admin", admin_->address()},
          {"peers", scheduler_->peer_address()},
          {"incarnation", incarnation},
@@ -99,7 +102,8 @@
     kernel_.Register("target-dialect", MakeOwnTargetDialect());
   }
 
-  // No claims: every request enters at one box under an id of its own.
+  // There is no service "claims": every request enters at one box, under an id
+  // of its own.
   void RegisterPlatformInterface() {
     platform::RegisterPlatform(&kernel_, settings_);
     kernel_.Register("config",
@@ -108,8 +112,8 @@
                      std::make_shared<Directory>(&kernel_, settings_));
   }
 
-  // Nothing that changes at run time is read from the settings but the level
-  // of logs; the rest is in force from the next start on.
+  // SIGHUP reloads the settings file, but only the log level takes effect at
+  // run time; all other settings do so from the next start on.
   void WatchReloads() {
     reloads_.async_wait([this](boost::system::error_code error, int) {
       if (error)
@@ -139,44 +143,46 @@
     draining_ = true;
     Log(LogLevel::kInfo, "draining", {{"requests", runner_->active()}});
     admin_->SetDraining();
-    front_->Leave();
+    frontend_->Leave();
     scheduler_->Leave();
-    WatchImpatience();
+    WatchRepeatedStops();
     kernel_.Spawn("drain", FinishRequests());
   }
 
-  // A platform may tell a process to stop more than once; only somebody at a
-  // terminal asks for an end at once.
-  void WatchImpatience() {
+  // Handles signals during the drain. A platform may send SIGTERM more than
+  // once, so it is only logged; SIGINT comes from a person at a terminal who
+  // wants the process to exit immediately.
+  void WatchRepeatedStops() {
     signals_.async_wait([this](boost::system::error_code error, int signal) {
       if (error)
         return;
       if (signal == SIGINT)
-        return CutShort("interrupted while draining");
+        return AbortDrain("interrupted while draining");
       Log(LogLevel::kInfo, "stop-repeated", {{"requests", runner_->active()}});
-      WatchImpatience();
+      WatchRepeatedStops();
     });
   }
 
-  void CutShort(const std::string& why) {
+  void AbortDrain(const std::string& why) {
     Log(LogLevel::kWarning, "drain-cut-short",
         {{"why", why}, {"requests", runner_->active()}});
-    exit_code_ = kExitDrainCutShort;
+    exit_code_ = kExitDrainAborted;
     kernel_.Stop();
   }
 
   auto FinishRequests() -> asio::awaitable<void> {
-    const Millis give_up = kernel_.Now() + settings_.drain_time;
+    const Millis deadline = kernel_.Now() + settings_.drain_time;
     co_await Sleep(settings_.drain_notice);
-    front_->Drain();
+    frontend_->Drain();
     while (runner_->active() > 0) {
-      if (kernel_.Now() >= give_up) {
-        CutShort("the drain time is over");
+      if (kernel_.Now() >= deadline) {
+        AbortDrain("requests are still active at the end of the drain time");
         co_return;
       }
-      co_await Sleep(kDrainLook);
+      co_await Sleep(kDrainPollInterval);
     }
-    co_await Sleep(kDrainLook);  // the last answers leave the socket
+    // Lets the last answers leave the socket.
+    co_await Sleep(kDrainPollInterval);
     Log(LogLevel::kInfo, "drained");
     kernel_.Stop();
   }
@@ -187,14 +193,14 @@
   asio::signal_set reloads_;
   std::shared_ptr<Scheduler> scheduler_;
   std::shared_ptr<Runner> runner_;
-  std::shared_ptr<Frontend> front_;
+  std::shared_ptr<Frontend> frontend_;
   std::shared_ptr<Admin> admin_;
   bool draining_ = false;
   int exit_code_ = 0;
 };
 
 auto Main(int argc, char** argv) -> int {
-  TCLAP::CmdLine line("sparbendd: one entry box of the sparbend fleet", ' ',
+  TCLAP::CmdLine line("sparbendd: one ingress box of the sparbend fleet", ' ',
                       SPARBEND_VERSION);
   TCLAP::ValueArg<std::string> config("c", "config", "Settings file (TOML)",
                                       true, "", "FILE", line);
@@ -215,12 +221,12 @@
   try {
     Daemon daemon(*settings);
     code = daemon.Run();
-    // Every line is out. Connections whose coroutines still wait refer to
-    // services; taking all that apart could only delay the end of a process
-    // that is about to be killed.
+    // All log lines are written. Skips the destructors: coroutines that still
+    // wait on connections refer to services, and destroying them in order would
+    // only delay the exit of a process that is about to be killed.
     std::_Exit(code);
   } catch (const std::exception& error) {
-    // A listening address that is taken, most likely.
+    // The most likely cause is a listening address that is already in use.
     Log(LogLevel::kError, "cannot-start", {{"error", error.what()}});
     code = 1;
   }
