--- a/testing/deadly_request_test.cc
+++ b/testing/deadly_request_test.cc
@@ -102,7 +102,7 @@
     const std::string id = "try-" + std::to_string(++asked_);
     return Call(world_.box(BoxName(box)).callers, "POST", path, body,
                 {{"Authorization", "Token " + key},
-                 {platform::kCallerIdField, id},
+                 {platform::kAttemptIdField, id},
                  {platform::kTokensField, "100,10"},
                  {platform::kDeadlineField, "8000"}});
   }
--- a/testing/leaving_target_test.cc
+++ b/testing/leaving_target_test.cc
@@ -106,7 +106,7 @@
     auto reply = std::async(std::launch::async, [&] {
       return Call(world.box("box-1").callers, "POST", row.path, "body",
                   {{"Authorization", "Token the-key"},
-                   {platform::kCallerIdField, "try-1"},
+                   {platform::kAttemptIdField, "try-1"},
                    {platform::kDeadlineField, "18000"}});
     });
     CHECK_TEXT(
--- a/testing/platform_path_test.cc
+++ b/testing/platform_path_test.cc
@@ -81,7 +81,7 @@
     return Call(
         world_.box(box).callers, "POST", path, body,
         {{"Authorization", key},
-         {platform::kCallerIdField, id},
+         {platform::kAttemptIdField, id},
          {platform::kTokensField,
           path.starts_with("/stream") || path.starts_with("/resumed") ? "100,10"
                                                                       : ""},
@@ -412,7 +412,7 @@
   Shared().Set([](const SeenRequest&, int) { return Hang(); });
   Call(Shared().world().box("box-1").callers, "POST", "/stream/x", "b",
        {{"Authorization", "Token the-key"},
-        {platform::kCallerIdField, "left"},
+        {platform::kAttemptIdField, "left"},
         {platform::kTokensField, "100,10"}},
        Millis(300));
   CHECK(WaitFor(Millis(5'000), [] {
@@ -504,7 +504,7 @@
   const auto status = [&](const std::string& box, const std::string& key) {
     return Call(world.box(box).callers, "POST", "/again/x", "b",
                 {{"Authorization", "Token " + key},
-                 {platform::kCallerIdField, "peer"}})
+                 {platform::kAttemptIdField, "peer"}})
         .status;
   };
   for (const char* box : {"box-1", "box-2"}) {
@@ -531,7 +531,7 @@
   world.SetFault(fault);
   world.StartBox("box-1");
   const Reply refused = Call(world.box("box-1").callers, "POST", "/again/x",
-                             "b", {{platform::kCallerIdField, "early"}});
+                             "b", {{platform::kAttemptIdField, "early"}});
   LONGS_EQUAL(503, refused.status);
   CHECK(refused.fields.contains("retry-after"));
   CHECK(world.WaitReady("box-1", false));
@@ -580,7 +580,7 @@
   auto running = std::async(std::launch::async, [address] {
     return Call(address, "POST", "/stream/x", "b",
                 {{"Authorization", "Token the-key"},
-                 {platform::kCallerIdField, "during-stop"},
+                 {platform::kAttemptIdField, "during-stop"},
                  {platform::kTokensField, "10,3"}})
         .status;
   });
@@ -610,7 +610,7 @@
   const std::string head =
       "POST /stream/x HTTP/1.1\r\nHost: 127.0.0.1\r\n"
       "Authorization: Token the-key\r\n" +
-      std::string(platform::kCallerIdField) + ": events\r\n" +
+      std::string(platform::kAttemptIdField) + ": events\r\n" +
       platform::kTokensField + ": 100,10\r\n" + platform::kDeadlineField +
       ": 3000\r\nContent-Length: 0\r\n\r\n";
   asio::write(caller, asio::buffer(head));
--- a/testing/platform_world.cc
+++ b/testing/platform_world.cc
@@ -73,7 +73,7 @@
 auto Misdirected(const SeenRequest& request) -> TargetScript {
   TargetScript script;
   script.pieces = {"HTTP/1.1 421 Misdirected Request\r\n" +
-                   std::string(platform::kCallerIdField) + ": " + request.id +
+                   std::string(platform::kAttemptIdField) + ": " + request.id +
                    "\r\n" + platform::kNotRunField +
                    ": 1\r\nContent-Length: 0\r\n\r\n"};
   return script;
@@ -381,7 +381,7 @@
       std::ranges::transform(name, name.begin(), ::tolower);
       seen.fields[name] = field.value();
     }
-    seen.id = parser.get()[platform::kCallerIdField];
+    seen.id = parser.get()[platform::kAttemptIdField];
     size_t place = 0;
     {
       const std::lock_guard lock(mutex_);
@@ -390,7 +390,7 @@
     }
     const bool misdirected =
         target->lives > 1 &&
-        parser.get()[platform::kMeantForField] != target->name;
+        parser.get()[platform::kExpectedTargetField] != target->name;
     const TargetScript script =
         misdirected ? Misdirected(seen) : target->handler(seen);
     open = co_await Play(script, &socket);
@@ -499,14 +499,14 @@
 
 auto GoodAnswer(const SeenRequest& request, const std::string& body)
     -> std::string {
-  return "HTTP/1.1 200 OK\r\n" + std::string(platform::kCallerIdField) + ": " +
+  return "HTTP/1.1 200 OK\r\n" + std::string(platform::kAttemptIdField) + ": " +
          request.id + "\r\n" + platform::kSignatureField +
          ": s\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
          body;
 }
 
 auto StreamHead(const SeenRequest& request) -> std::string {
-  return "HTTP/1.1 200 OK\r\n" + std::string(platform::kCallerIdField) + ": " +
+  return "HTTP/1.1 200 OK\r\n" + std::string(platform::kAttemptIdField) + ": " +
          request.id + "\r\n" + platform::kSignatureField +
          ": s\r\nContent-Type: text/event-stream\r\n"
          "Transfer-Encoding: chunked\r\n\r\n";
--- a/testing/server_leaving_test.cc
+++ b/testing/server_leaving_test.cc
@@ -67,7 +67,7 @@
   auto Ask() -> int {
     return Call(world_.box("box-1").callers, "POST", "/again/x", "body",
                 {{"Authorization", "Token the-key"},
-                 {platform::kCallerIdField, std::to_string(++asked_)},
+                 {platform::kAttemptIdField, std::to_string(++asked_)},
                  {platform::kDeadlineField, "6000"}})
         .status;
   }
--- a/testing/soak/callers.cc
+++ b/testing/soak/callers.cc
@@ -90,7 +90,7 @@
   request.set(http::field::host, "127.0.0.1");
   request.set(http::field::authorization,
               "Token key-" + std::to_string(asked->key));
-  request.set(platform::kCallerIdField, asked->id);
+  request.set(platform::kAttemptIdField, asked->id);
   request.set(platform::kDeadlineField, "5000");
   if (asked->route >= SoakRoute::kStream)
     request.set(platform::kTokensField, "100,10");
--- a/testing/soak/deadly.cc
+++ b/testing/soak/deadly.cc
@@ -86,7 +86,7 @@
   Call(address, "POST", kPath,
        "deadly " + std::to_string(seed_) + " " + std::to_string(request),
        {{"Authorization", "Token key-" + std::to_string(key)},
-        {platform::kCallerIdField, id},
+        {platform::kAttemptIdField, id},
         {platform::kTokensField, "100,10"},
         {platform::kDeadlineField, "3000"}},
        kWaitTimeout);
--- a/testing/soak/run.cc
+++ b/testing/soak/run.cc
@@ -199,7 +199,7 @@
     if (luck < 4) {
       arrival.ran = false;
       script.pieces = {"HTTP/1.1 503 Busy\r\n" +
-                       std::string(platform::kCallerIdField) + ": " + seen.id +
+                       std::string(platform::kAttemptIdField) + ": " + seen.id +
                        "\r\n" + platform::kNotRunField +
                        ": 1\r\nContent-Length: 0\r\n\r\n"};
     } else {
@@ -411,7 +411,7 @@
       const auto status = [&](int key) {
         return Call(world_.box(BoxName(box)).callers, "POST", "/again/x", "b",
                     {{"Authorization", "Token key-" + std::to_string(key)},
-                     {platform::kCallerIdField,
+                     {platform::kAttemptIdField,
                       "check-" + std::to_string(box) + "-" +
                           std::to_string(Now().count())}},
                     kHealed)
--- a/testing/soak/turned_away.cc
+++ b/testing/soak/turned_away.cc
@@ -85,7 +85,7 @@
   if (!refused)
     return std::nullopt;
   std::string head = "HTTP/1.1 503 Busy\r\n";
-  head.append(platform::kCallerIdField).append(": ").append(seen.id);
+  head.append(platform::kAttemptIdField).append(": ").append(seen.id);
   head.append("\r\n").append(platform::kNotRunField).append(": 1\r\n");
   head.append("Retry-After: ").append(Seconds(asked)).append("\r\n");
   if (leaving)
--- a/testing/store_era_test.cc
+++ b/testing/store_era_test.cc
@@ -39,7 +39,7 @@
   const auto status = [&] {
     return Call(world.box("box-1").callers, "POST", "/again/x", "body",
                 {{"Authorization", "Token the-key"},
-                 {platform::kCallerIdField, "try-" + std::to_string(++asked)},
+                 {platform::kAttemptIdField, "try-" + std::to_string(++asked)},
                  {platform::kDeadlineField, "2000"}})
         .status;
   };
--- a/testing/target_retry_after_test.cc
+++ b/testing/target_retry_after_test.cc
@@ -87,9 +87,10 @@
     }
     TargetScript script;
     script.pieces = {"HTTP/1.1 503 Service Unavailable\r\n" +
-                     std::string(platform::kCallerIdField) + ": " + request.id +
-                     "\r\n" + platform::kNotRunField + ": 1\r\nRetry-After: " +
-                     retry_after_ + "\r\nContent-Length: 0\r\n\r\n"};
+                     std::string(platform::kAttemptIdField) + ": " +
+                     request.id + "\r\n" + platform::kNotRunField +
+                     ": 1\r\nRetry-After: " + retry_after_ +
+                     "\r\nContent-Length: 0\r\n\r\n"};
     return script;
   }
 
@@ -138,7 +139,7 @@
           std::to_string(caller) + "-" + std::to_string(time);
       std::map<std::string, std::string> fields = {
           {"Authorization", "Token the-key"},
-          {platform::kCallerIdField, id},
+          {platform::kAttemptIdField, id},
           {platform::kDeadlineField, "6000"}};
       if (path_.starts_with("/stream/"))
         fields[platform::kTokensField] = "100,10";
@@ -198,7 +199,7 @@
         co_await http::async_read(*socket, buffer, request, kAwait);
     if (!error)
       ++requests_;
-    co_return std::string(request[platform::kCallerIdField]);
+    co_return std::string(request[platform::kAttemptIdField]);
   }
 
   auto ServeFirst() -> asio::awaitable<void> {
@@ -216,8 +217,8 @@
     while (!refuse_)
       co_await Sleep(Millis(5));
     const std::string refusal =
-        "HTTP/1.1 503 Busy\r\n" + std::string(platform::kCallerIdField) + ": " +
-        id + "\r\n" + platform::kNotRunField +
+        "HTTP/1.1 503 Busy\r\n" + std::string(platform::kAttemptIdField) +
+        ": " + id + "\r\n" + platform::kNotRunField +
         ": 1\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n";
     co_await asio::async_write(socket, asio::buffer(refusal), kAwait);
   }
@@ -256,7 +257,7 @@
   const auto ask = [&](const char* id) {
     return Call(world.box("box-1").callers, "POST", "/again/x", "body",
                 {{"Authorization", "Token the-key"},
-                 {platform::kCallerIdField, id},
+                 {platform::kAttemptIdField, id},
                  {platform::kDeadlineField, "8000"}});
   };
   CHECK_EQUAL(200, ask("first").status);
