--- a/ctl/log_lines.h
+++ b/ctl/log_lines.h
@@ -12,8 +12,8 @@
 namespace sparbend::ctl {
 
 // Calls `handle` with the JSON object of each line of `log`. Text before the
-// first brace of a line is ignored.
-// Returns the number of lines without a valid object; empty lines don't count.
+// first brace of a line is ignored. Returns the number of lines without a valid
+// object; empty lines don't count.
 auto ReadLogLines(std::istream& log,
                   const std::function<void(const Json&)>& handle) -> int;
 
