--- a/sparbend/core/client_wait_estimator.cc
+++ b/sparbend/core/client_wait_estimator.cc
@@ -1,8 +1,9 @@
-// The usual wait of a route is an upper percentile of the waits that were
-// stated lately. It isn't the maximum, because a few clients with long timeouts
-// must not make all others look like retries. It is valid only while enough
-// attempts state about that wait; where each client states a different one, the
-// usual wait is unknown and every attempt is taken for a first attempt.
+// The usual wait of a route is a high percentile of the remaining waits that
+// clients stated in its newest attempts. It isn't the maximum, because a few
+// clients with long timeouts must not make all others look like retries. It is
+// valid only while enough attempts state a wait close to it. Where each client
+// states a different one, the usual wait is unknown and every attempt is taken
+// for a first attempt.
 #include "sparbend/core/client_wait_estimator.h"
 
 #include <algorithm>
@@ -11,19 +12,25 @@
 namespace sparbend {
 namespace {
 
-// Covers some seconds of a route's attempts through one box.
+// Number of newest attempts that are recorded for a route. Covers some seconds
+// of its attempts through one box.
 constexpr size_t kMaxWaitsPerRoute = 64;
 // With fewer recorded waits the usual wait is unknown.
 constexpr size_t kMinWaits = 8;
-// In an overload up to this percentage of the attempts may be retries.
+// Retries state shorter waits than first attempts, so the percentile is the
+// wait of a first attempt while at most this percentage of the attempts are
+// retries. In an overload it may be as many.
 constexpr size_t kUsualWaitPercentile = 80;
-// Percentage of the recorded waits that must be about the usual one.
+// Percentage of the recorded waits that must lie within kWaitTolerance of the
+// usual wait. If as many attempts are retries as kUsualWaitPercentile allows,
+// this is the percentage of first attempts.
 constexpr size_t kMinAgreementPercent = 20;
-// A wait this close to the usual one counts as equal, since a request spends
-// some time in the network before the box reads its stated wait.
+// A wait this close to the usual one counts as equal, so that first attempts
+// whose stated waits differ slightly are not taken for retries.
 constexpr Millis kWaitTolerance = Millis(30);
-// Bound on memory, above the number of routes of any configuration in use. When
-// it is reached, the waits of all routes are discarded.
+// Bounds the memory. When waits of this many routes are recorded, the first
+// attempt on another route discards all of them, so a configuration should have
+// fewer routes.
 constexpr size_t kMaxRoutes = 4'096;
 
 }  // namespace
--- a/sparbend/core/fair_usage.cc
+++ b/sparbend/core/fair_usage.cc
@@ -1,7 +1,7 @@
 // All amounts decay exponentially with the same time constant, so the sum of
 // decayed amounts is the decayed sum. Reports of different age can therefore be
 // added, and one amount per flow (peer_totals_) stands for the reports of all
-// boxes.
+// other boxes.
 #include "sparbend/core/fair_usage.h"
 
 #include <algorithm>
@@ -11,19 +11,23 @@
 namespace sparbend {
 namespace {
 
-// Fairness is judged over windows of about four seconds. A time constant of
-// half of that reacts within a window and still smooths single requests.
-constexpr double kDecayMs = 2'000;
-constexpr double kMinReportedTokens = 1;
-
-auto Decayed(double value, Millis at, Millis now) -> double {
-  return value * std::exp(-static_cast<double>((now - at).count()) / kDecayMs);
+// Flows should get their fair shares within windows of about four seconds. A
+// time constant of half of that reacts within a window and still smooths single
+// requests. After this time 1/e of an amount is left.
+constexpr double kDecayTimeConstantMs = 2'000;
+// In tokens divided by the flow's share. Smaller amounts are left out of
+// reports.
+constexpr double kMinReportedService = 1;
+
+auto Decayed(double service, Millis at, Millis now) -> double {
+  return service * std::exp(-static_cast<double>((now - at).count()) /
+                            kDecayTimeConstantMs);
 }
 
 }  // namespace
 
-void FairUsage::Add(double amount, Millis now, Amount* sum) {
-  sum->value = std::max(0.0, Decayed(sum->value, sum->at, now) + amount);
+void FairUsage::Add(double service, Millis now, Amount* sum) {
+  sum->service = std::max(0.0, Decayed(sum->service, sum->at, now) + service);
   sum->at = now;
 }
 
@@ -43,8 +47,8 @@
     Add(static_cast<double>(value.value), now, &peer_totals_[value.flow]);
 }
 
-auto FairUsage::DecayedAfter(int64_t value, Millis age) -> int64_t {
-  return std::llround(Decayed(static_cast<double>(value), Millis(0), age));
+auto FairUsage::DecayedAfter(int64_t service, Millis age) -> int64_t {
+  return std::llround(Decayed(static_cast<double>(service), Millis(0), age));
 }
 
 void FairUsage::ClearPeerReports() {
@@ -55,27 +59,29 @@
 auto FairUsage::PeerValues(Millis now) const -> std::vector<FlowValue> {
   std::vector<FlowValue> values;
   for (const auto& [flow, amount] : peer_totals_) {
-    const double value = Decayed(amount.value, amount.at, now);
-    if (value >= kMinReportedTokens)
-      values.push_back({flow, std::llround(value)});
+    const double service = Decayed(amount.service, amount.at, now);
+    if (service >= kMinReportedService)
+      values.push_back({flow, std::llround(service)});
   }
   return values;
 }
 
-auto FairUsage::In(const std::map<Flow, Amount>& amounts, Flow flow, Millis now)
-    -> double {
+auto FairUsage::AmountAt(const std::map<Flow, Amount>& amounts,
+                         Flow flow,
+                         Millis now) -> double {
   const auto found = amounts.find(flow);
   return found == amounts.end()
              ? 0
-             : Decayed(found->second.value, found->second.at, now);
+             : Decayed(found->second.service, found->second.at, now);
 }
 
 auto FairUsage::OwnValueOf(Flow flow, Millis now) const -> int64_t {
-  return std::llround(In(own_, flow, now));
+  return std::llround(AmountAt(own_, flow, now));
 }
 
 auto FairUsage::ValueOf(Flow flow, Millis now) const -> int64_t {
-  return std::llround(In(own_, flow, now) + In(peer_totals_, flow, now));
+  return std::llround(AmountAt(own_, flow, now) +
+                      AmountAt(peer_totals_, flow, now));
 }
 
 auto FairUsage::Amounts(PoolId pool, Millis now) const
@@ -97,9 +103,9 @@
     -> std::vector<FlowValue> {
   std::vector<FlowValue> values;
   for (const auto& [flow, amount] : own_) {
-    const double value = Decayed(amount.value, amount.at, now);
-    if (value >= kMinReportedTokens)
-      values.push_back({flow, std::llround(value)});
+    const double service = Decayed(amount.service, amount.at, now);
+    if (service >= kMinReportedService)
+      values.push_back({flow, std::llround(service)});
   }
   std::ranges::sort(values, std::ranges::greater(), &FlowValue::value);
   if (values.size() > max_flows)
--- a/sparbend/core/fair_usage.h
+++ b/sparbend/core/fair_usage.h
@@ -27,8 +27,8 @@
   void UpdateFromPeer(BoxId from,
                       const std::vector<FlowValue>& values,
                       Millis now);
-  // Returns what remains of `value` after `age`.
-  static auto DecayedAfter(int64_t value, Millis age) -> int64_t;
+  // Returns what remains of `service` after `age`.
+  static auto DecayedAfter(int64_t service, Millis age) -> int64_t;
   // Drops the reports of all peers.
   void ClearPeerReports();
   // The sum of all peer reports per flow, without the own amounts. Leaves out
@@ -44,9 +44,9 @@
   auto OwnValues(size_t max_flows, Millis now) const -> std::vector<FlowValue>;
 
  private:
-  // A decaying amount: it was `value` at `at`.
+  // A decaying amount: the normalised service was `service` at `at`.
   struct Amount {
-    double value = 0;
+    double service = 0;
     Millis at;
   };
 
@@ -56,10 +56,11 @@
     Millis at;
   };
 
-  static void Add(double amount, Millis now, Amount* sum);
+  static void Add(double service, Millis now, Amount* sum);
   // The amount of `flow` in `amounts` at `now`; zero if there is none.
-  static auto In(const std::map<Flow, Amount>& amounts, Flow flow, Millis now)
-      -> double;
+  static auto AmountAt(const std::map<Flow, Amount>& amounts,
+                       Flow flow,
+                       Millis now) -> double;
 
   std::map<Flow, Amount> own_;
   std::map<BoxId, PeerReport> peer_reports_;
--- a/sparbend/core/json.cc
+++ b/sparbend/core/json.cc
@@ -2,8 +2,9 @@
 // of names must be kept in step with them. The hint for an unknown field is the
 // known name with the smallest edit distance.
 //
-// The texts of problems are part of the replicated state (Decision::cause in
-// config_fold.h): boxes whose texts differ compute different digests.
+// The texts of problems are stored in the replicated state of the configuration
+// (Decision::cause in config_fold.h) and hashed with it. A changed text makes
+// boxes of the old and the new version differ in the digest of that state.
 #include "sparbend/core/json.h"
 
 #include <algorithm>
@@ -12,7 +13,8 @@
 namespace sparbend {
 namespace {
 
-// A known name farther than this from an unknown one is not suggested.
+// In edits: characters that are inserted, deleted or replaced. A known name
+// farther than this from an unknown one is not suggested.
 constexpr size_t kMaxHintDistance = 3;
 
 auto EditDistance(std::string_view a, std::string_view b) -> size_t {
--- a/sparbend/core/leaving_targets.h
+++ b/sparbend/core/leaving_targets.h
@@ -31,7 +31,7 @@
   // True if the target was not in the set.
   auto Add(TargetId target) -> bool;
   auto Contains(TargetId target) const -> bool {
-    return unlisted_since_.contains(target);
+    return targets_.contains(target);
   }
   // Updates the set from a new list of targets, and removes those that have
   // been off the list for the retention time.
@@ -41,9 +41,10 @@
 
  private:
   Millis retention_;
-  // When a list first lacked the target; nothing while the list names it, or if
-  // no list came since it was added.
-  std::map<TargetId, std::optional<Millis>> unlisted_since_;
+  // All leaving targets. The value is the time when a list first lacked the
+  // target; nullopt while the list names it, or if no list came since it was
+  // added.
+  std::map<TargetId, std::optional<Millis>> targets_;
 };
 
 }  // namespace sparbend
--- a/sparbend/core/loop_delay.cc
+++ b/sparbend/core/loop_delay.cc
@@ -5,8 +5,8 @@
 namespace sparbend {
 namespace {
 
-// A probe is taken for lost after this time, which is far above the delay at
-// which an overloaded box refuses new requests.
+// A probe is taken for lost after this time. It is far above the delay at which
+// an overloaded box refuses new requests (kSaturatedDelayMs in overload.cc).
 constexpr Millis kProbeTimeout = Millis(1'000);
 
 }  // namespace
--- a/sparbend/core/messages.cc
+++ b/sparbend/core/messages.cc
@@ -1,13 +1,14 @@
-// Layout: 8 bytes of HMAC-SHA-256, then a MessagePack array of the wire
-// version, the header numbers, and one flat array of numbers per section. The
-// arrays are flat, rather than maps or nested arrays, because the budget of
-// control traffic is about 170 bytes per request (docs/DESIGN.md, "control
-// traffic") and field names would take half of it. Protobuf with committed
-// generated code would save about 10% by its packed varints, but would need a
-// run of the generator for each change.
+// Layout: 8 bytes of HMAC-SHA-256, then a MessagePack array of the header
+// numbers, of which the first is the wire version, and one flat array of
+// numbers per section. The arrays are flat, rather than maps or nested arrays,
+// because the budget of control traffic is about 170 bytes per request
+// (docs/DESIGN.md, "control traffic") and field names would take half of it.
+// Protobuf would be slightly smaller, since its varints are packed, but a code
+// generator would have to be run for each change.
 //
-// A tag of 64 bits is enough, since a datagram is valid for milliseconds only
-// and is dropped unless its sequence number rises.
+// A tag of 64 bits is enough: to forge a datagram without the key takes about
+// 2^63 attempts on average. Node drops replays by the incarnation and the
+// sequence number, and AggregateAssembler drops repeated parts.
 #include "sparbend/core/messages.h"
 
 #include <optional>
@@ -21,11 +22,14 @@
 
 constexpr int64_t kWireVersion = 7;
 constexpr size_t kTagBytes = 8;
+// Includes the wire version.
 constexpr size_t kHeaderNumberCount = 15;
 constexpr uint32_t kMaxKind =
     static_cast<uint32_t>(DatagramKind::kFleetAggregate);
 constexpr size_t kSectionCount = 12;
 constexpr int64_t kMaxU32 = UINT32_MAX;
+// Largest absolute value of a normalised service, and largest offset in the
+// configuration log, that is accepted.
 constexpr int64_t kMaxValue = INT64_MAX / 4;
 
 auto EncodeLeases(const std::vector<LeaseNotice>& leases) -> Json {
@@ -119,7 +123,8 @@
 }
 
 // Takes numbers from a flat array, front to back. Once a number is missing or
-// out of bounds, `ok` is false and all further numbers read as zero.
+// out of bounds, `ok` is false and all further numbers read as zero; only the
+// pool of a flow may be another number then.
 class NumberReader {
  public:
   explicit NumberReader(const Json& flat) : flat_(flat) {
@@ -177,6 +182,8 @@
   lease.epoch = in.Take();
   lease.granted = in.Take();
   lease.keep = in.Take(1) != 0;
+  // A workspace id takes at least one byte, so no datagram holds more of them
+  // than bytes.
   const auto count = in.Take<size_t>(kMaxDatagramBytes);
   for (size_t i = 0; i < count && in.ok(); ++i)
     lease.reserved_for.push_back(in.Take());
@@ -284,7 +291,8 @@
          datagram->aggregate_header.part < datagram->aggregate_header.parts;
 }
 
-// The wire version; nothing if `body` is not a datagram of any version.
+// Returns the wire version, or nullopt if `body` is not an array that begins
+// with an integer.
 auto VersionOf(const Json& body) -> std::optional<int64_t> {
   if (!body.is_array() || body.empty() || !body[0].is_number_integer())
     return std::nullopt;
--- a/sparbend/core/route_table.h
+++ b/sparbend/core/route_table.h
@@ -36,14 +36,18 @@
   bool streaming = false;
   // An interrupted stream may continue at another target.
   bool resumable = false;
-  bool needs_key = true;     // clients must send an API key
-  int max_attempts = 1;      // targets that one request may be sent to
+  bool needs_key = true;  // clients must send an API key
+  // Maximum number of attempts that may have executed one request. Attempts
+  // that certainly did not execute it don't count here; MayRetry() in retry.h
+  // limits the number of all attempts.
+  int max_attempts = 1;
   Millis time_limit;         // for the complete request; zero: none
   Millis latency_objective;  // for the first byte; zero: none
 
   auto operator==(const RouteRule&) const -> bool = default;
 
-  // Chooses a pool with probability proportional to its weight. `random` is a
+  // Chooses a pool with probability proportional to its weight; the first one
+  // if the weights add up to zero. `pools` must not be empty. `random` is a
   // random number or a hash; the same number yields the same pool.
   auto PickPool(uint64_t random) const -> const std::string&;
 };
@@ -54,7 +58,8 @@
   explicit RouteTable(std::vector<RouteRule> rules);
 
   // Returns the rule of `host` with the longest prefix of `path`, or null if
-  // there is none. The query is ignored. O(slashes in the path * log n).
+  // there is none. The query is ignored. O(slashes in the path * log n) for n
+  // rules of the host.
   auto Find(std::string_view host, std::string_view path) const
       -> const RouteRule*;
   auto size() const -> size_t { return rules_.size(); }
