--- a/sparbend/core/fair_usage.cc
+++ b/sparbend/core/fair_usage.cc
@@ -13,7 +13,7 @@
 
 // Flows should get their fair shares within windows of about four seconds. A
 // time constant of half of that reacts within a window and still smooths single
-// requests. After this time 1/e of an amount is left.
+// requests. Within one time constant an amount decays to 1/e of its value.
 constexpr double kDecayTimeConstantMs = 2'000;
 // In tokens divided by the flow's share. Smaller amounts are left out of
 // reports.
--- a/sparbend/core/messages.cc
+++ b/sparbend/core/messages.cc
@@ -123,8 +123,8 @@
 }
 
 // Takes numbers from a flat array, front to back. Once a number is missing or
-// out of bounds, `ok` is false and all further numbers read as zero; only the
-// pool of a flow may be another number then.
+// out of bounds, `ok` is false and all further numbers read as zero. TakeFlow()
+// still returns the pool that was read last.
 class NumberReader {
  public:
   explicit NumberReader(const Json& flat) : flat_(flat) {
