--- a/ctl/trace.cc
+++ b/ctl/trace.cc
@@ -1,7 +1,8 @@
-// Each box that accepts a request gives it an id of its own; the client's id
-// joins the lines of several boxes. Times are by the boxes' wall clocks, which
-// may differ a little, so the order of lines of different boxes is approximate.
-// Lines with the same time keep the order of the log.
+// Each box assigns an id of its own to a request that it accepts. The request
+// id that the client sent is the same on all boxes, so it finds the lines of
+// all of them. Times are by the boxes' wall clocks, which may differ a little,
+// so the order of lines of different boxes is approximate. Lines with the same
+// time keep the order of the log.
 #include "ctl/trace.h"
 
 #include <algorithm>
--- a/sparbend/core/accept_queue.h
+++ b/sparbend/core/accept_queue.h
@@ -21,7 +21,8 @@
   // The clients to serve and to refuse in one turn of the event loop.
   struct Turn {
     std::vector<uint64_t> serve;  // newest first
-    // Longest wait first. These clients would be served too late.
+    // Clients that have waited too long to be served in time by this box;
+    // longest wait first.
     std::vector<uint64_t> refuse;
     auto operator==(const Turn&) const -> bool = default;
   };
--- a/sparbend/core/interrupted_attempts_test.cc
+++ b/sparbend/core/interrupted_attempts_test.cc
@@ -8,8 +8,11 @@
 constexpr TargetId kTarget = 7;
 constexpr TargetId kOtherTarget = 8;
 
-auto AttemptOf(uint32_t body, Millis sent_at) -> InterruptedAttempt {
-  return {{1, 2, body}, SuspicionVersion(), sent_at, sent_at};
+auto AttemptOf(uint32_t body_digest, Millis sent_at) -> InterruptedAttempt {
+  return {{/*workspace=*/1, /*path=*/2, body_digest},
+          SuspicionVersion(),
+          /*connected_at=*/sent_at,
+          sent_at};
 }
 
 TEST_GROUP(InterruptedAttempts){};
@@ -26,13 +29,13 @@
   CHECK(attempts.OnEnded(kTarget, now + Millis(6)).empty());
 }
 
-// When an attempt was sent, when its connection broke, and whether it was then
-// interrupted by the exit of its target, which was recorded at 1,000 ms.
+// An exit of the target is recorded at 1,000 ms. Each case is an attempt that
+// is added after that, and whether Add() says that the exit interrupted it.
 TEST(InterruptedAttempts, AddedAfterTheExitCountIfSentBeforeIt) {
   struct Case {
-    int64_t sent_at;
-    int64_t broken_at;
-    bool exited;
+    int64_t sent_at_ms;
+    int64_t broken_at_ms;
+    bool interrupted_by_exit;
   };
   const Case cases[] = {
       {900, 1'010, true},    {1'000, 1'500, true},
@@ -42,17 +45,17 @@
   for (const Case& row : cases) {
     InterruptedAttempts attempts;
     attempts.OnEnded(kTarget, Millis(1'000));
-    CHECK(attempts.Add(kTarget, AttemptOf(1, Millis(row.sent_at)),
-                       Millis(row.broken_at)) == row.exited);
+    CHECK(attempts.Add(kTarget, AttemptOf(1, Millis(row.sent_at_ms)),
+                       Millis(row.broken_at_ms)) == row.interrupted_by_exit);
   }
 }
 
-// When the connection of an attempt was made, and how many attempts a second
-// exit interrupts. The attempt is sent after a first exit at 1,000 ms.
+// An attempt is sent at 1,100 ms, after an exit at 1,000 ms. A second exit
+// interrupts it only if its connection was made after the first exit.
 TEST(InterruptedAttempts, SentAfterAnExitOnAnOlderConnectionAreDropped) {
   struct Case {
-    int64_t connected_at;
-    size_t interrupted;
+    int64_t connected_at_ms;
+    size_t interrupted;  // attempts that the second exit interrupts
   };
   const Case cases[] = {{900, 0}, {1'000, 0}, {1'001, 1}};
   for (const Case& row : cases) {
@@ -61,7 +64,7 @@
     CHECK_FALSE(attempts.Add(kTarget,
                              {{1, 2, 3},
                               SuspicionVersion(),
-                              Millis(row.connected_at),
+                              Millis(row.connected_at_ms),
                               Millis(1'100)},
                              Millis(1'200)));
     LONGS_EQUAL(row.interrupted,
@@ -69,11 +72,12 @@
   }
 }
 
-// When the answered attempt was sent, and how many attempts are returned to be
-// cleared, after an exit recorded at 1,000 ms.
+// An exit is recorded at 1,000 ms, and two attempts are reported for it. The
+// answer to another attempt clears both only if that attempt was sent after the
+// exit.
 TEST(InterruptedAttempts, AreClearedWhenTheirTargetAnswersALaterAttempt) {
   struct Case {
-    int64_t sent_at;
+    int64_t sent_at_ms;  // of the answered attempt
     size_t cleared;
   };
   const Case cases[] = {{900, 0}, {1'000, 0}, {1'001, 2}};
@@ -83,7 +87,7 @@
     attempts.OnEnded(kTarget, Millis(1'000));
     CHECK(attempts.Add(kTarget, AttemptOf(2, Millis(800)), Millis(1'010)));
     LONGS_EQUAL(row.cleared,
-                attempts.OnAnswered(kTarget, Millis(row.sent_at)).size());
+                attempts.OnAnswered(kTarget, Millis(row.sent_at_ms)).size());
     CHECK(attempts.OnAnswered(kOtherTarget, Millis(2'000)).empty());
   }
 }
@@ -91,6 +95,7 @@
 TEST(InterruptedAttempts, ExpireAfterTheRetention) {
   InterruptedAttempts attempts;
   attempts.Add(kTarget, AttemptOf(1, Millis(0)), Millis(0));
+  // Attempts are kept for 10 s.
   CHECK(attempts.OnEnded(kTarget, Millis(10'000)).empty());
 }
 
@@ -98,6 +103,7 @@
   InterruptedAttempts attempts;
   for (uint32_t i = 0; i < 1'000; ++i)
     attempts.Add(kTarget, AttemptOf(i, Millis(1)), Millis(1));
+  // At most 256 attempts are kept per target (kMaxAttempts).
   LONGS_EQUAL(256, attempts.OnEnded(kTarget, Millis(2)).size());
 }
 
--- a/sparbend/core/json.h
+++ b/sparbend/core/json.h
@@ -43,9 +43,10 @@
   int64_t max;
 };
 
-// Reads the fields of one object. A missing field yields the fallback (an empty
-// value where there is none); a field of the wrong type or out of range yields
-// the fallback and a problem. `object` and `problems` must outlive the reader.
+// Reads the fields of one object. A missing field yields the fallback, or an
+// empty value if the function takes none; a field of the wrong type or out of
+// range yields the same and a problem. `object` and `problems` must outlive the
+// reader.
 class FieldReader {
  public:
   FieldReader(const Json& object,
@@ -53,17 +54,18 @@
               std::vector<Problem>* problems);
 
   auto String(std::string_view name, std::string fallback) -> std::string;
+  // Also reports a problem if the field is missing.
   auto RequiredString(std::string_view name) -> std::string;
   auto Integer(std::string_view name, Range range, int64_t fallback) -> int64_t;
   // A number from 0 to `max`, with or without a fraction.
   auto Number(std::string_view name, double max, double fallback) -> double;
   auto Bool(std::string_view name, bool fallback) -> bool;
   auto Strings(std::string_view name) -> std::vector<std::string>;
-  // The field, of any type, or null if absent.
+  // The field, or null if absent. Accepts all types, so it reports no problem.
   auto Any(std::string_view name) -> const Json*;
-  // The field if it is an object, or the elements if it is an array of objects;
-  // null or empty otherwise.
+  // The field if it is an object; null otherwise.
   auto Object(std::string_view name) -> const Json*;
+  // The elements of the field if it is an array of objects; empty otherwise.
   auto Objects(std::string_view name) -> std::vector<const Json*>;
 
   // Adds a problem with field `name`.
--- a/sparbend/core/quarantine.cc
+++ b/sparbend/core/quarantine.cc
@@ -1,14 +1,16 @@
-// A row counts how many targets exited in succession while they executed a
-// request. Each attempt carries the version of the row at the time when it was
-// sent; if its target exits, the row's count becomes at least one more than the
-// count in that version. Hence copies of a request that were in flight at the
-// same time count once, as do all exits by the failure of a rack. A request is
-// counted twice only if it was sent again after the first exit was known, and
-// its target exited again. This orders events without synchronised clocks.
+// There is one row for each suspected request. It counts how many targets
+// exited in succession while they executed the request. Each attempt carries
+// the version of the row at the time when it was sent; if its target exits, the
+// row's count becomes at least one more than the count in that version. Hence
+// copies of a request that were in flight at the same time count once, as do
+// all exits by the failure of a rack. A request is counted twice only if it was
+// sent again after the first exit was known, and its target exited again. This
+// orders events without synchronised clocks.
 //
 // A complete answer clears the row, as a request that is executed to completion
-// does not crash its targets. Clearing starts a new count; on all boxes, exits
-// that belong to an earlier count are ignored.
+// does not crash its targets. Clearing increments `cleared` and resets `ends`,
+// the count of exits. Exits of attempts that were sent at a lower `cleared` are
+// then ignored on all boxes.
 //
 // Invariant: the version of a row only increases, in the order of (cleared,
 // ends). Merging takes the higher version, so reports may be lost, repeated or
@@ -21,37 +23,43 @@
 namespace sparbend {
 namespace {
 
-// One exit may be a coincidence; two in succession hardly are.
+// One exit may be a coincidence; two in succession are unlikely to be one.
 constexpr uint32_t kExitsToBlock = 2;
 // The first block is short, as a request that is suspected by coincidence must
-// be released; each further exit makes the block ten times as long.
+// be released; each further exit makes the block ten times as long: 2, 20 and
+// 200 minutes after 2, 3 and 4 exits. It does not get longer after that.
 constexpr int64_t kInitialBlockMs = 120'000;
 constexpr int64_t kBlockFactor = 10;
 constexpr int64_t kMaxBlockMs = 12'000'000;
 // Rows are kept for this time after their block ends, or after their last
 // change if they are not blocked.
 constexpr Millis kRetention = Millis(600'000);
+// The count of a row does not exceed this.
 constexpr uint32_t kMaxExits = 1'000;
-// A workspace with many suspected requests evicts only its own rows, up to the
-// limit over all workspaces.
+// A workspace at its limit evicts its own rows, so that many suspected requests
+// of one workspace do not evict those of others. If a workspace below its limit
+// adds a row while all workspaces together have kMaxRows, the row evicted may
+// be that of any workspace.
 constexpr size_t kMaxRowsPerWorkspace = 256;
 constexpr size_t kMaxRows = 2'048;
-// Recently changed rows are sent with each load report for this time.
+// For this time after a change a row counts as recently changed. Each load
+// report carries the kRecentRowsPerReport of these rows that changed last.
 constexpr Millis kRecentWindow = Millis(2'000);
 constexpr size_t kRecentRowsPerReport = 3;
-// Rows sent in rotation.
+// Rows of a report that are taken in rotation from all rows; one that changed
+// recently is skipped without a replacement.
 constexpr size_t kOtherRowsPerReport = 1;
-// RowsToReport returns the same rows for this time, as it may be called for
-// each request.
+// RowsToReport returns the same rows for this time or until a row changes, as
+// it may be called for each request.
 constexpr Millis kReportLifetime = Millis(50);
 constexpr int64_t kMillisPerSecond = 1'000;
 
 auto BlockDuration(uint32_t exits) -> Millis {
-  int64_t span = exits < kExitsToBlock ? 0 : kInitialBlockMs;
-  for (uint32_t counted = kExitsToBlock; counted < exits && span < kMaxBlockMs;
-       ++counted)
-    span *= kBlockFactor;
-  return Millis(std::min(span, kMaxBlockMs));
+  int64_t block_ms = exits < kExitsToBlock ? 0 : kInitialBlockMs;
+  for (uint32_t counted = kExitsToBlock;
+       counted < exits && block_ms < kMaxBlockMs; ++counted)
+    block_ms *= kBlockFactor;
+  return Millis(std::min(block_ms, kMaxBlockMs));
 }
 
 auto LowestFingerprintOf(WorkspaceId workspace) -> Fingerprint {
@@ -84,10 +92,10 @@
 }
 
 auto Quarantine::OnEnded(const Fingerprint& request,
-                         SuspicionVersion sent,
+                         SuspicionVersion version_at_send,
                          Millis now) -> bool {
-  const uint32_t exits = std::min(sent.ends + 1, kMaxExits);
-  const SuspicionVersion version = {sent.cleared, exits};
+  const uint32_t exits = std::min(version_at_send.ends + 1, kMaxExits);
+  const SuspicionVersion version = {version_at_send.cleared, exits};
   if (version <= SuspicionVersionOf(request))
     return false;
   Change(request, {version, now, /*persisted=*/true}, now);
@@ -95,10 +103,10 @@
 }
 
 auto Quarantine::ClearSuspicion(const Fingerprint& request,
-                                SuspicionVersion sent,
+                                SuspicionVersion version_at_send,
                                 Millis now) -> bool {
   const SuspicionVersion version = SuspicionVersionOf(request);
-  if (version.ends == 0 || version.cleared != sent.cleared)
+  if (version.ends == 0 || version.cleared != version_at_send.cleared)
     return false;
   Change(request, {{version.cleared + 1, 0}, now}, now);
   return true;
@@ -131,8 +139,8 @@
     newly_blocked_.push_back(request);
 }
 
-// Evicts the row with the fewest exits, and of these the one that changed
-// first.
+// Evicts the row with the fewest exits; of several, the one that changed least
+// recently.
 void Quarantine::EvictLeastSuspected(Rows::iterator begin, Rows::iterator end) {
   const auto least = std::min_element(begin, end, [](auto& a, auto& b) {
     return std::pair(a.second.version.ends, a.second.changed_at) <
--- a/sparbend/core/quarantine.h
+++ b/sparbend/core/quarantine.h
@@ -4,10 +4,11 @@
 // they arrive at the same state in whatever order the reports come.
 //
 //   // When an attempt is sent:
-//   const SuspicionVersion sent = quarantine.SuspicionVersionOf(request);
+//   const SuspicionVersion version_at_send =
+//       quarantine.SuspicionVersionOf(request);
 //   // When its target exited, or when it was answered completely:
-//   quarantine.OnEnded(request, sent, now);
-//   quarantine.ClearSuspicion(request, sent, now);
+//   quarantine.OnEnded(request, version_at_send, now);
+//   quarantine.ClearSuspicion(request, version_at_send, now);
 //   if (quarantine.BlockedFor(request, now) > Millis(0)) ...  // refuse it
 //   peer.UpdateFromPeer(quarantine.RowsToReport(now), now);
 //
@@ -48,15 +49,16 @@
   // Remaining time for which `request` must not be sent; zero: it may be sent.
   auto BlockedFor(const Fingerprint& request, Millis now) const -> Millis;
 
-  // An attempt sent at version `sent` was at a target when the target exited.
-  // True if that raised the version.
-  auto OnEnded(const Fingerprint& request, SuspicionVersion sent, Millis now)
-      -> bool;
-  // Clears the suspicion: an attempt sent at version `sent` was answered
+  // An attempt sent at `version_at_send` was at a target when the target
+  // exited. True if that raised the version.
+  auto OnEnded(const Fingerprint& request,
+               SuspicionVersion version_at_send,
+               Millis now) -> bool;
+  // Clears the suspicion: an attempt sent at `version_at_send` was answered
   // completely, or its target had not exited. True if the request was suspected
   // until now. No effect if it was cleared since the attempt was sent.
   auto ClearSuspicion(const Fingerprint& request,
-                      SuspicionVersion sent,
+                      SuspicionVersion version_at_send,
                       Millis now) -> bool;
   // Clears all suspected requests of the workspace, blocked or not, by command
   // of an operator. Returns their number.
--- a/sparbend/core/usage_meter.cc
+++ b/sparbend/core/usage_meter.cc
@@ -1,6 +1,8 @@
-// Parses server-sent events line by line, just enough to count them; the bytes
-// are forwarded unchanged. The usage object is searched only in the last bytes
-// of the body, so that the meter doesn't have to store the response.
+// Parses server-sent events line by line, only as far as needed to count the
+// complete ones, read their ids, and find the end of the last complete event
+// and the closing event. The bytes are forwarded unchanged. The usage object is
+// searched only in the last bytes of the body, so that the meter doesn't have
+// to store the response.
 #include "sparbend/core/usage_meter.h"
 
 #include <algorithm>
@@ -10,16 +12,17 @@
 namespace sparbend {
 namespace {
 
-// The usage object has to lie in the last bytes of the body.
+// The usage object is found if it lies in this many last bytes of the body; up
+// to twice as many are stored and searched.
 constexpr size_t kTailBytes = 512;
-// Longer lines are truncated: only their field names, ids and the closing line
-// are used.
+// Longer lines are truncated, as only field names, event ids and the closing
+// line are needed. An event id that does not fit is truncated, too.
 constexpr size_t kMaxLineBytes = 64;
 constexpr std::string_view kUsageKey = "\"usage\":";
 constexpr std::string_view kClosingLine = "data: [DONE]";
 
 // The integer `name` of `object`, at least 0; 0 if it is missing or no integer.
-auto CountField(const Json& object, const char* name) -> int64_t {
+auto ReadCount(const Json& object, const char* name) -> int64_t {
   const bool present =
       object.contains(name) && object[name].is_number_integer();
   return present ? std::max<int64_t>(0, object[name].get<int64_t>()) : 0;
@@ -87,8 +90,8 @@
       tail_.substr(object_begin, object_end + 1 - object_begin), kTailBytes);
   if (!usage || !usage->is_object())
     return {};
-  return {CountField(*usage, "prompt_tokens"),
-          CountField(*usage, "completion_tokens")};
+  return {ReadCount(*usage, "prompt_tokens"),
+          ReadCount(*usage, "completion_tokens")};
 }
 
 }  // namespace sparbend
--- a/sparbend/services/catalog_source.h
+++ b/sparbend/services/catalog_source.h
@@ -21,7 +21,7 @@
   // What is missing, in words for clients and operators; meaningful only while
   // ready() is false.
   virtual auto not_ready_reason() const -> std::string = 0;
-  // Never null; empty before the first configuration.
+  // The active configuration. Never null; empty until the first one is applied.
   virtual auto catalog() const -> std::shared_ptr<const Catalog> = 0;
   // Grows with each configuration that is applied; for logs and peers.
   virtual auto version() const -> int64_t = 0;
--- a/sparbend/services/scheduler.cc
+++ b/sparbend/services/scheduler.cc
@@ -49,11 +49,11 @@
                      uint32_t incarnation)
     : kernel_(kernel),
       node_(OptionsFrom(settings, incarnation)),
-      address_(settings.peer_address),
+      configured_peer_address_(settings.peer_address),
       socket_(kernel->io()),
       timer_(kernel->io()),
       loop_delay_(uint64_t{std::random_device()()} << 32) {
-  const tcp::endpoint endpoint = *ParseAddress(address_);
+  const tcp::endpoint endpoint = *ParseAddress(configured_peer_address_);
   socket_.open(endpoint.address().is_v6() ? asio::ip::udp::v6()
                                           : asio::ip::udp::v4());
   socket_.bind({endpoint.address(), endpoint.port()});
@@ -117,21 +117,21 @@
   const Millis now = kernel_->Now();
   // Late and repeated datagrams (kRefused) are normal.
   if (why == Errc::kRefused ||
-      now - refusal_logged_at_ < kMinRefusalLogInterval)
+      now - datagram_refusal_logged_at_ < kMinRefusalLogInterval)
     return;
-  refusal_logged_at_ = now;
+  datagram_refusal_logged_at_ = now;
   Log(LogLevel::kWarning, "datagram-refused",
       {{"from", FormatAddress({from.address(), from.port()})},
        {"why", why.message()}});
 }
 
-void Scheduler::UpdateAggregateAge(Millis now) {
+void Scheduler::UpdateFleetAggregateAge(Millis now) {
   const Millis age = node_.aggregate_age(now);
   metrics_->fleet_sum_age.Set(static_cast<double>(age.count()) / 1'000);
   const bool stale = age >= kStaleAggregateAge;
-  if (stale == aggregate_stale_)
+  if (stale == fleet_aggregate_stale_)
     return;
-  aggregate_stale_ = stale;
+  fleet_aggregate_stale_ = stale;
   Log(LogLevel::kWarning, stale ? "fleet-sum-lost" : "fleet-sum-regained",
       {{"age_ms", age.count()}, {"boxes", node_.live_boxes()}});
 }
@@ -150,7 +150,7 @@
     if (!socket_.is_open())
       co_return;
     UpdateOverload();
-    UpdateAggregateAge(kernel_->Now());
+    UpdateFleetAggregateAge(kernel_->Now());
     RecordEndedBackoffs(kernel_->Now());
     metrics_->quarantined.Set(static_cast<double>(
         node_.quarantine().ListBlocked(kernel_->Now()).size()));
--- a/sparbend/services/scheduler.h
+++ b/sparbend/services/scheduler.h
@@ -1,6 +1,7 @@
-// The service "scheduler": runs the Node, which does no I/O itself, with a
-// socket and a clock. It owns the datagram socket for the exchange with other
-// boxes, and resumes the coroutines that wait for a slot.
+// The service "scheduler": connects the Node (the scheduling logic of this box,
+// which does no I/O) to a socket and a clock. It owns the datagram socket for
+// the exchange with other boxes, and resumes the coroutines that wait for a
+// slot.
 //
 //   SlotOrRefusal outcome = co_await scheduler->Acquire(request);
 //   if (const Slot* slot = std::get_if<Slot>(&outcome)) {
@@ -32,10 +33,12 @@
   std::string target;
   std::string hall;
   tcp::endpoint address;
-  // Address of another target, which first transfers its cached prefix of the
-  // prompt.
+  // Address of another target, which transfers its cached prefix of the prompt
+  // to this target before the request is executed; none if nothing is
+  // transferred.
   std::optional<tcp::endpoint> fetch_from;
-  Choice choice;  // reasons for the target, under Policy::kShared
+  // Estimates behind the choice of the target; set only under Policy::kShared.
+  Choice choice;
 };
 
 using SlotOrRefusal = std::variant<Slot, Refusal>;
@@ -50,34 +53,37 @@
   // Waits for a slot. Returns a refusal if there will be none, or if the client
   // left (Abandon).
   auto Acquire(QueuedRequest request) -> asio::awaitable<SlotOrRefusal>;
-  // Waits for another slot, at most until the instant `until`, to retry an
-  // attempt that failed at the acquired slot.
+  // Returns the request's slot after a failed attempt and waits for a slot to
+  // retry it, of another target if possible. Waits until the later of `until`
+  // and the request's own expiry.
   auto AcquireAgain(RequestId id, Millis until)
       -> asio::awaitable<SlotOrRefusal>;
   // The client of a waiting request left.
   void Abandon(RequestId id);
   // Bytes of the request's response arrived.
   void OnBytes(RequestId id);
-  // A target that was excluded since it accepted no connection accepts one
-  // again.
+  // A target that was excluded because it accepted no connection accepts
+  // connections again.
   void OnReachable(TargetId target);
   // The request has received `tokens` of service so far.
   void Progress(RequestId id, int64_t tokens);
   // Records what the outcome of an attempt shows of its target's health.
   void OnOutcome(TargetId target, TargetOutcome outcome);
-  // Returns the slot after `tokens` of service. Every acquired slot must be
-  // finished exactly once.
+  // Returns the request's slot after `tokens` of service. Must be called
+  // exactly once for each acquired slot, except one that AcquireAgain has
+  // returned.
   void Finish(RequestId id, int64_t tokens);
 
   void SetList(const MemberList& list);
-  // Activates a configuration. `offset` is the one up to which this box knows
-  // the configuration; it is reported to peers.
+  // Activates a configuration. `offset` is that of the first configuration
+  // record that this box does not know yet; it is reported to peers.
   void SetCatalog(std::shared_ptr<const Catalog> catalog, int64_t offset);
   // Sets all halls in which no new work may start. `offset` is as above.
   void SetEvacuatedHalls(const std::set<std::string>& halls, int64_t offset);
   // A response of the target said that it is leaving.
   void OnTargetLeaving(TargetId target);
-  // A target exited while it executed a request that was sent at `version`.
+  // A target exited while it executed `request`. `version` is the version of
+  // the request's suspicion when the attempt was sent.
   void OnTargetExit(const Fingerprint& request, SuspicionVersion version);
   // Sets a function to call when the quarantine rows that this box must persist
   // may have changed.
@@ -96,7 +102,7 @@
   void Leave();
 
   auto node() -> Node& { return node_; }
-  // Whether this box is overloaded.
+  // How overloaded this box is.
   auto overload() const -> const Overload& { return overload_; }
   // Address of the datagram socket.
   auto peer_address() const -> std::string;
@@ -115,12 +121,12 @@
   auto Tick() -> asio::awaitable<void>;
   // When the timer is to run next.
   auto NextTimerTime(Millis now) const -> Millis;
-  // Sends a loop delay probe to this box itself and updates the overload state,
-  // once in kOverloadUpdateInterval.
+  // At most once per kOverloadUpdateInterval: updates the overload state, and
+  // sends a loop delay probe to this box itself unless one is in flight.
   void UpdateOverload();
   void OnDatagramRefused(const std::error_code& why,
                          const asio::ip::udp::endpoint& from);
-  void UpdateAggregateAge(Millis now);
+  void UpdateFleetAggregateAge(Millis now);
   void HandleQuarantineChanges(Millis now);
   void RecordEndedBackoffs(Millis now);
   void SetConfigOffset(int64_t offset);
@@ -130,8 +136,8 @@
   void ScheduleRun();
   // Has the node decide, sends its datagrams and resumes waiting coroutines.
   void RunNode();
-  // Resumes the coroutine that waits for the request's slot. Without one,
-  // returns the slot.
+  // Resumes the coroutine that waits for the request's slot. If none waits any
+  // more, returns the slot unused.
   void Complete(RequestId id, SlotOrRefusal outcome);
   auto MakeSlot(const Dispatch& dispatch) -> SlotOrRefusal;
   // Address of the target that transfers a cached prefix, if any.
@@ -140,14 +146,14 @@
 
   Kernel* kernel_;
   Node node_;
-  std::string address_;
+  std::string configured_peer_address_;
   asio::ip::udp::socket socket_;
   asio::steady_timer timer_;
   bool run_scheduled_ = false;
   Overload overload_;
   LoopDelay loop_delay_;
-  bool aggregate_stale_ = false;
-  Millis refusal_logged_at_;
+  bool fleet_aggregate_stale_ = false;
+  Millis datagram_refusal_logged_at_;
   Millis overload_updated_at_;
   std::shared_ptr<Metrics> metrics_;
   std::function<void()> on_persisted_rows_changed_;
