--- a/ctl/shares_test.cc
+++ b/ctl/shares_test.cc
@@ -11,8 +11,9 @@
 
 constexpr int64_t kStartSecond = 1'000;
 
-// Log lines of one second in which `workspace` is served and refused the given
-// numbers of tokens. The answer began 300 ms before it was complete.
+// Log lines that count in `second`, in which `workspace` is served and refused
+// the given numbers of tokens. The answer begins 900 ms into `second` and is
+// complete 300 ms later, so its line is logged in the next second.
 auto LogLines(int64_t second,
               const char* workspace,
               int64_t served,
@@ -33,17 +34,19 @@
 
 TEST_GROUP(Shares){};
 
-TEST(Shares, SpansAreSortedByRatio) {
+TEST(Shares, SpanHasTheRatioOfTokensServedToFairShare) {
   struct Case {
     const char* what;
-    int64_t small_served;
-    int64_t small_refused;  // per second, in all seconds but the last
-    int64_t last_refused;
+    // Tokens of the workspace "small".
+    int64_t served_per_second;
+    int64_t refused_per_second;  // in all seconds but the last
+    int64_t refused_in_last_second;
     bool found;
     double ratio;
   };
   const Case cases[] = {
-      {"a third of the best", 100, 900, 900, true, 1.0 / 3},
+      {"a third of the tokens that the best-served workspace got", 100, 900,
+       900, true, 1.0 / 3},
       {"most of what it requested", 100, 25, 25, true, 0.8},
       {"nothing refused in the last second", 100, 900, 0, false, 0},
   };
@@ -51,8 +54,9 @@
     std::string log = "not a log line\n";
     for (int64_t i = 0; i < kSpanSeconds; ++i) {
       const bool last = i + 1 == kSpanSeconds;
-      log += LogLines(kStartSecond + i, "small", row.small_served,
-                      last ? row.last_refused : row.small_refused);
+      log +=
+          LogLines(kStartSecond + i, "small", row.served_per_second,
+                   last ? row.refused_in_last_second : row.refused_per_second);
       log += LogLines(kStartSecond + i, "large", 300, 0);
     }
     std::istringstream in(log);
--- a/sparbend/core/evacuated_halls.cc
+++ b/sparbend/core/evacuated_halls.cc
@@ -1,8 +1,9 @@
-// The record with the higher offset wins. A report may come from a box that is
-// behind in the log; it must neither evacuate a hall again whose evacuation has
-// ended since, nor reopen a hall that was evacuated since. Therefore a hall
-// stays in the map, with its offset, after its evacuation has ended: the map
-// grows with the number of different halls ever named, up to kMaxHalls.
+// The record with the higher offset wins. A report from a box that has read
+// less of the log must not undo later records: it must neither restart an
+// evacuation that a later record ended, nor end one that a later record
+// started. Therefore a hall stays in the map, with its offset, after its
+// evacuation has ended: the map grows with the number of different halls ever
+// named, up to kMaxHalls.
 #include "sparbend/core/evacuated_halls.h"
 
 namespace sparbend {
@@ -41,6 +42,9 @@
   for (auto& [hall, state] : states_) {
     if (!state.evacuated || halls.contains(hall) || state.offset >= end)
       continue;
+    // A record before `end` ended the evacuation, but its offset is not known.
+    // `end - 1` is the highest that it can be, so no older record of the hall
+    // restarts the evacuation.
     state = State{false, end - 1};
     changed = true;
   }
--- a/sparbend/core/hall_aggregates.cc
+++ b/sparbend/core/hall_aggregates.cc
@@ -62,9 +62,9 @@
 
 }  // namespace
 
-void HallAggregates::Totals::UpdateFromPeer(BoxId source,
-                                            const Datagram& datagram,
-                                            Millis now) {
+void HallAggregates::ValuesBySource::UpdateFromPeer(BoxId source,
+                                                    const Datagram& datagram,
+                                                    Millis now) {
   loads.UpdateFromPeer(source, datagram.loads, now);
   served.UpdateFromPeer(source, datagram.services, now);
   denied.UpdateFromPeer(source, datagram.denials, now);
@@ -119,10 +119,10 @@
   }
 }
 
-auto HallAggregates::IncludedBoxes() const -> std::vector<MemberUpdate> {
+auto HallAggregates::ReportedBoxes() const -> std::vector<MemberUpdate> {
   std::vector<MemberUpdate> members;
-  for (const auto& [box, included] : boxes_)
-    members.push_back(included.update);
+  for (const auto& [box, reported] : boxes_)
+    members.push_back(reported.update);
   return members;
 }
 
@@ -144,7 +144,7 @@
   Datagram aggregate;
   aggregate.kind = DatagramKind::kHallAggregate;
   aggregate.aggregate_header.boxes = static_cast<uint32_t>(boxes_.size());
-  aggregate.members = IncludedBoxes();
+  aggregate.members = ReportedBoxes();
   aggregate.loads = local_.loads.PeerRows();
   aggregate.services = local_.served.PeerValues(now);
   aggregate.denials = local_.denied.PeerValues(now);
--- a/sparbend/core/hall_aggregates.h
+++ b/sparbend/core/hall_aggregates.h
@@ -7,7 +7,7 @@
 //   aggregates.MakeHallAggregate(now);
 //   aggregates.MakeFleetAggregate(now);
 //
-// Pure: no I/O and no clock.
+// Does no I/O and reads no clock.
 #ifndef SPARBEND_CORE_HALL_AGGREGATES_H_
 #define SPARBEND_CORE_HALL_AGGREGATES_H_
 
@@ -26,11 +26,15 @@
 
 class HallAggregates {
  public:
-  // Applies the load report of a box of this hall, which may be this box. It
-  // replaces the previous report of that box.
+  // Applies the load report of a box of this hall, which may be this box. Its
+  // loads, service and denials replace those of the previous report of that
+  // box; its prefix locations are added to the known ones.
   void OnLoadReport(const Datagram& report, Millis now);
   // Applies the aggregate of another hall, sent by one of its two aggregators.
-  // Of the two, the aggregate that covers more boxes is used.
+  // An aggregate from the other aggregator replaces the accepted one if it
+  // covers at least as many boxes, or if none was accepted for
+  // kFewerBoxesDelay. Prefix locations are added from all aggregates, accepted
+  // or not.
   void OnHallAggregate(const std::string& hall,
                        const Datagram& aggregate,
                        Millis now);
@@ -38,20 +42,22 @@
   // A datagram with only the sections of an aggregate filled in, over the boxes
   // of this hall that have a recent load report.
   auto MakeHallAggregate(Millis now) -> Datagram;
-  // The same over all halls that have a recent aggregate. Its `members` are
-  // those of this hall only; its prefix locations are those of all halls.
+  // An aggregate over this hall and all other halls with a recent aggregate.
+  // Its `members` are those of this hall only; its prefix locations are those
+  // of all halls.
   auto MakeFleetAggregate(Millis now) -> Datagram;
 
  private:
-  // Loads, service and denials by source: a box of this hall, or another hall.
-  struct Totals {
+  // Loads, service and denials by source: a box of this hall, or another hall,
+  // whose id is BoxIdOf of its name.
+  struct ValuesBySource {
     LoadTable loads;
     FairUsage served;
     FairUsage denied;
 
     void UpdateFromPeer(BoxId source, const Datagram& datagram, Millis now);
   };
-  struct IncludedBox {
+  struct ReportedBox {
     MemberUpdate update;
     Millis received_at;
   };
@@ -64,7 +70,7 @@
   struct RecentLocation {
     PrefixLocation location;
     Millis received_at;
-    bool local = false;  // reported by a box of this hall
+    bool local = false;  // first reported by a box of this hall
   };
 
   void Expire(Millis now);
@@ -73,11 +79,11 @@
                              Millis now);
   auto RecentPrefixLocations(bool local_only) const
       -> std::vector<PrefixLocation>;
-  auto IncludedBoxes() const -> std::vector<MemberUpdate>;
+  auto ReportedBoxes() const -> std::vector<MemberUpdate>;
 
-  Totals local_;
-  Totals remote_;
-  std::map<BoxId, IncludedBox> boxes_;
+  ValuesBySource local_;
+  ValuesBySource remote_;
+  std::map<BoxId, ReportedBox> boxes_;
   std::map<std::string, RemoteAggregate> remote_halls_;
   std::deque<RecentLocation> prefix_locations_;  // oldest first
   // The locations in prefix_locations_, for lookup.
--- a/sparbend/core/log_budget.cc
+++ b/sparbend/core/log_budget.cc
@@ -17,20 +17,20 @@
   if (found == buckets_.end())
     found = buckets_
                 .emplace(std::string(event),
-                         Bucket{burst_ * kThousandthsPerLine, now, 0})
+                         Bucket{burst_lines_ * kThousandthsPerLine, now, 0})
                 .first;
   Bucket& bucket = found->second;
   const int64_t elapsed_ms =
       std::max<int64_t>(0, (now - bucket.filled_at).count());
-  bucket.available =
-      std::min(burst_ * kThousandthsPerLine,
-               bucket.available + elapsed_ms * lines_per_second_);
+  bucket.available_thousandths =
+      std::min(burst_lines_ * kThousandthsPerLine,
+               bucket.available_thousandths + elapsed_ms * lines_per_second_);
   bucket.filled_at = now;
-  if (bucket.available < kThousandthsPerLine) {
+  if (bucket.available_thousandths < kThousandthsPerLine) {
     ++bucket.left_out;
     return std::nullopt;
   }
-  bucket.available -= kThousandthsPerLine;
+  bucket.available_thousandths -= kThousandthsPerLine;
   const Pass pass{bucket.left_out};
   bucket.left_out = 0;
   return pass;
--- a/sparbend/core/log_budget.h
+++ b/sparbend/core/log_budget.h
@@ -24,7 +24,7 @@
   };
 
   LogBudget(int64_t lines_per_second, int64_t burst)
-      : lines_per_second_(lines_per_second), burst_(burst) {}
+      : lines_per_second_(lines_per_second), burst_lines_(burst) {}
 
   // Takes one line of kind `event` from the budget; nothing if the budget is
   // used up and the line must be left out.
@@ -32,13 +32,13 @@
 
  private:
   struct Bucket {
-    int64_t available = 0;  // thousandths of a line
+    int64_t available_thousandths = 0;  // thousandths of a line
     Millis filled_at;
     int64_t left_out = 0;
   };
 
   int64_t lines_per_second_;
-  int64_t burst_;
+  int64_t burst_lines_;
   std::map<std::string, Bucket, std::less<>> buckets_;
 };
 
--- a/sparbend/core/node_reports_test.cc
+++ b/sparbend/core/node_reports_test.cc
@@ -19,12 +19,12 @@
 // A box with running requests at more targets than fit into one datagram sends
 // its load report in parts, and no target is missing.
 TEST(NodeReports, NameAllTargetsThatABoxUses) {
-  constexpr int kTargets = 300;
-  constexpr int kSlots = 64;
-  SharedNodes nodes(2, EngineTargets(kTargets, kSlots));
+  constexpr int kTargetCount = 300;
+  constexpr int kSlotsPerTarget = 64;
+  SharedNodes nodes(2, EngineTargets(kTargetCount, kSlotsPerTarget));
   Node& sender = nodes.at(0);
   sender.SetCatalog(EngineCatalog());
-  for (int i = 0; i < 2 * kTargets; ++i) {
+  for (int i = 0; i < 2 * kTargetCount; ++i) {
     QueuedRequest request;
     request.id = static_cast<uint64_t>(i) + 1;
     request.flow = {PoolIdOf("engines"), 1};
@@ -42,7 +42,7 @@
   }
   const LoadTable& known = nodes.at(1).ingress_scheduler().placement().loads();
   const LoadTable& sent = sender.ingress_scheduler().placement().loads();
-  for (int i = 0; i < kTargets; ++i) {
+  for (int i = 0; i < kTargetCount; ++i) {
     const TargetId target = TargetIdOf("target-" + std::to_string(i));
     LONGS_EQUAL(sent.Own(target).running, known.Total(target).running);
   }
@@ -63,22 +63,27 @@
   CHECK(nodes.Step(Millis(1)).empty());
 }
 
-// All boxes send their first load report at the same time, as after a change
-// that makes all of them send. Jitter must spread their later reports.
-TEST(NodeReports, OfBoxesInStepSpreadOut) {
+// All boxes send their first load report in the same step, as after a change
+// that makes all of them send. Jitter must spread their later reports: boxes
+// that stay in step all send in the same counting window, so no window may have
+// more sends than half the number of boxes.
+TEST(NodeReports, LoadReportsOfBoxesInStepSpreadOut) {
   constexpr int kBoxes = 20;
-  constexpr int64_t kIntervalMs = 50;
+  constexpr int64_t kCountingWindowMs = 50;
+  // The time of SharedNodes starts at 10 s. Sends are counted from 8 s later,
+  // by when they must have spread out.
   constexpr Millis kMeasuredFrom(18'000);
   constexpr Millis kEnd(20'000);
   SharedNodes nodes(kBoxes, {});
-  std::map<int64_t, size_t> sends_by_interval;
+  std::map<int64_t, size_t> sends_by_window;
   while (nodes.now() < kEnd) {
     const std::vector<int> senders = nodes.Step(Millis(10));
     if (!senders.empty() && nodes.now() >= kMeasuredFrom)
-      sends_by_interval[nodes.now().count() / kIntervalMs] += senders.size();
+      sends_by_window[nodes.now().count() / kCountingWindowMs] +=
+          senders.size();
   }
   size_t largest = 0;
-  for (const auto& [interval, sends] : sends_by_interval)
+  for (const auto& [window, sends] : sends_by_window)
     largest = std::max(largest, sends);
   CHECK(largest > 0);
   CHECK(largest <= kBoxes / 2);
--- a/sparbend/core/overload.cc
+++ b/sparbend/core/overload.cc
@@ -38,10 +38,10 @@
   mean_delay_ms_ += (1 - std::exp(-elapsed_ms / kAveragingTimeMs)) *
                     (sample_ms - mean_delay_ms_);
   if (mean_delay_ms_ > kRecoveredDelayMs)
-    last_above_recovery_ = now;
+    last_above_recovered_delay_at_ = now;
   if (mean_delay_ms_ >= kBusyDelayMs)
     busy_ = true;
-  else if (now - last_above_recovery_ >= kMinRecoveryTime)
+  else if (now - last_above_recovered_delay_at_ >= kMinRecoveryTime)
     busy_ = false;
 }
 
--- a/sparbend/core/overload.h
+++ b/sparbend/core/overload.h
@@ -1,9 +1,9 @@
 // Detects that this box can't keep up with its work, from the time that bytes
-// wait until they are read (LoopDelay). One thread does all work of a box, so a
-// long wait there means that everything is late.
+// wait until they are read (LoopDelay). One thread does all work of a box, so
+// if bytes wait long, all its work is late.
 //
 //   overload.OnTick(loop_delay, now);  // about every 50 ms
-//   if (overload.busy()) ...           // ask the load balancer for less
+//   if (overload.busy()) ...           // new clients should go to other boxes
 //   if (overload.saturated()) ...      // refuse new requests
 #ifndef SPARBEND_CORE_OVERLOAD_H_
 #define SPARBEND_CORE_OVERLOAD_H_
@@ -14,7 +14,8 @@
 
 class Overload {
  public:
-  // Updates the mean with the latest `loop_delay`.
+  // Updates the moving average of the delays with `loop_delay`, the latest one
+  // at time `now`.
   void OnTick(Millis loop_delay, Millis now);
 
   // Whether new clients should be sent to other boxes. Remains true for at
@@ -31,7 +32,7 @@
  private:
   double mean_delay_ms_ = 0;
   bool busy_ = false;
-  Millis last_above_recovery_;
+  Millis last_above_recovered_delay_at_;
   Millis last_tick_at_;
 };
 
--- a/sparbend/core/target_backoff_test.cc
+++ b/sparbend/core/target_backoff_test.cc
@@ -1,5 +1,5 @@
-// Guards against two failures: a target is sent requests within the time for
-// which it asked for none, or is sent all queued requests at the end of it.
+// Guards against two failures: a target is sent requests before its Retry-After
+// has passed, or all queued requests as soon as it has passed.
 #include "sparbend/core/target_backoff.h"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 TEST_GROUP(TargetBackoff){};
 
-TEST(TargetBackoff, LastsForTheLongestSpanAskedFor) {
+TEST(TargetBackoff, LastsUntilTheLatestTimeAskedFor) {
   struct Rejection {
     int64_t at_ms;
     int64_t span_ms;
@@ -43,6 +43,8 @@
       const int64_t from = row.rejections.back().at_ms;
       for (int64_t at = from; at < row.until_ms; ++at)
         CHECK_TEXT(!backoff.MaySend(kTarget, Millis(at)), row.what);
+      // Each span is extended by at most 10 % (kMaxSpreadPercent), and no span
+      // is longer than `until_ms`.
       CHECK_TEXT(
           backoff.MaySend(kTarget, Millis(from + row.until_ms * 11 / 10)),
           row.what);
@@ -56,6 +58,7 @@
   backoff.OnRetryAfter(kTarget, Millis(1'000), Millis(0));
   const Millis now(2'000);
   RequestId next_id = 1;
+  // After 16 answers (kAnswersUntilUnlimited) there is no limit.
   for (int limit = 1; limit <= 16; ++limit) {
     const RequestId first = next_id;
     while (backoff.MaySend(kTarget, now))
@@ -96,15 +99,18 @@
   LONGS_EQUAL(1, ended.size());
   CHECK_EQUAL(kTarget, ended.front().target);
   LONGS_EQUAL(2, ended.front().refusals);
+  // Both spans count from the first rejection, at 100 ms.
   LONGS_EQUAL(50, ended.front().last_refusal.count());
   CHECK(ended.front().asked >= Millis(1'050));
   CHECK(backoff.TakeEndedBackoffs(Millis(1'600)).empty());
   CHECK(!backoff.empty());
+  // Later than the state is kept (kRetention, 30 s after the backoff's end).
   backoff.TakeEndedBackoffs(Millis(60'000));
   CHECK(backoff.empty());
 }
 
-// Compares random calls with a model of all rejections and requests.
+// Random calls: no request may be sent to a target before the latest time that
+// it asked for. The limit on unanswered requests is not checked here.
 TEST(TargetBackoff, NeverSendsWithinASpanAskedFor) {
   std::mt19937_64 random(1);
   for (int round = 0; round < 200; ++round) {
@@ -145,6 +151,7 @@
     }
     for (const RequestId request : in_flight)
       backoff.OnEnded(request);
+    // Later than the state is kept (kRetention, 30 s after the backoff's end).
     backoff.TakeEndedBackoffs(now + Millis(60'000));
     CHECK(backoff.empty());
   }
--- a/sparbend/services/peers.h
+++ b/sparbend/services/peers.h
@@ -21,7 +21,8 @@
 // all boxes share.
 auto PeerProof(const std::string& key, const std::string& body) -> std::string;
 
-// Time limit of a call between boxes, which may transfer much data.
+// Time limit of a call between boxes. The response may be large, for example a
+// snapshot.
 inline constexpr Millis kPeerCallTimeout = Millis(2'000);
 
 class Peers : public Service {
@@ -31,13 +32,15 @@
 
   // Calls `method` at `box` and returns its result. kUnreachable if the box is
   // not listed, kRefused if the response has no result; other errors are those
-  // of HttpClient and ParseJson.
+  // of ParseAddress, HttpClient and ParseJson.
   auto Call(BoxId box,
             const std::string& method,
             const Json& params,
             Millis timeout = kPeerCallTimeout) -> asio::awaitable<Result<Json>>;
 
-  // Like Call(), at a peer RPC address, for a box that is not listed yet.
+  // Like Call(), at the address (ip:port) of a listener of a box that answers
+  // peer RPC. For a box that is not listed yet; Call() uses the
+  // BoxEntry::admin_address of a listed one.
   auto CallAt(const std::string& address,
               const std::string& method,
               const Json& params,
@@ -52,11 +55,12 @@
   // come first.
   auto Listed() const -> std::vector<BoxId>;
 
-  // Those of Listed() from which a datagram has arrived recently
-  // (Members::IsLive).
+  // Those of Listed() that are not leaving and whose heartbeat has risen
+  // recently (Members::IsLive).
   auto Live() const -> std::vector<BoxId>;
 
-  // Bytes sent and received by calls of this box so far.
+  // TCP payload bytes that this box has sent and received as a client of other
+  // boxes so far, by calls and by Post().
   auto bytes() const -> uint64_t;
 
  private:
