--- a/sparbend/core/target_backoff_test.cc
+++ b/sparbend/core/target_backoff_test.cc
@@ -43,8 +43,8 @@
       const int64_t from = row.rejections.back().at_ms;
       for (int64_t at = from; at < row.until_ms; ++at)
         CHECK_TEXT(!backoff.MaySend(kTarget, Millis(at)), row.what);
-      // Each span is extended by at most 10 % (kMaxSpreadPercent), and no span
-      // is longer than `until_ms`.
+      // Each span is extended by at most 10 % (kMaxSpreadPercent). None is
+      // longer than `until_ms` or starts after `from`.
       CHECK_TEXT(
           backoff.MaySend(kTarget, Millis(from + row.until_ms * 11 / 10)),
           row.what);
